--- a/crates/sched/src/advice.rs
+++ b/crates/sched/src/advice.rs
@@ -15,7 +15,7 @@
 use crate::ids::JobKey;
 use crate::job::Ticket;
 use crate::scheduler::QueueStats;
-use crate::worker::fits;
+use crate::worker::fit_count;
 
 /// Most workers that one call may name.
 const CALL_WORKERS_LIMIT: usize = 100;
@@ -57,7 +57,7 @@
             if self
                 .workers
                 .get(*key)
-                .is_some_and(|worker| worker.usable(now))
+                .is_some_and(|worker| worker.is_usable(now))
             {
                 allowed.push(*key);
             }
@@ -76,7 +76,7 @@
         self.examined.set(self.examined.get() + examined);
         let mut eligible = Vec::new();
         for (key, worker) in &self.workers {
-            if !worker.usable(now) || worker.spec.service != job.spec.policy.service {
+            if !worker.is_usable(now) || worker.spec.service != job.spec.policy.service {
                 continue;
             }
             if label.is_some_and(|label| !worker.spec.labels.contains(label)) {
@@ -104,7 +104,7 @@
             if advice.denied.contains(&key) {
                 continue;
             }
-            let room = fits(&self.workers[key].room(), &need, wanted);
+            let room = fit_count(&self.workers[key].available(), &need, wanted);
             if room == 0 && !first {
                 continue;
             }
@@ -139,7 +139,7 @@
                 continue;
             }
             let limit = of_step.spec.tasks;
-            let room = fits(&self.workers[key].room(), &of_step.spec.room(), limit);
+            let room = fit_count(&self.workers[key].available(), &of_step.spec.room(), limit);
             unknown.push((room, key));
         }
         let count = self.first_call_size(job, step, &unknown);
@@ -160,7 +160,7 @@
         let mut held: u32 = 0;
         for worker in self.workers.values() {
             workers += 1;
-            held = held.saturating_add(fits(&worker.spec.capacity, &spec.room(), limit));
+            held = held.saturating_add(fit_count(&worker.spec.capacity, &spec.room(), limit));
         }
         let each = f64::from(held) / f64::from(workers.max(1));
         let share = self.allowed_share(&of_job.spec.policy.queue);
--- a/crates/sched/src/contact.rs
+++ b/crates/sched/src/contact.rs
@@ -15,8 +15,8 @@
 use crate::StopReason;
 use crate::TaskId;
 use crate::WorkerKey;
+use crate::jitter::jitter_seed;
 use crate::reports::belief;
-use crate::scatter::seed_of;
 use crate::worker::Phase;
 use crate::worker::WorkerRun;
 
@@ -108,7 +108,7 @@
     fn was_tried(&self, run: &WorkerRun, limit_ms: u64, now: Millis) -> bool {
         let is_stuck = run.in_flight && now.since(run.ordered_at) > limit_ms;
         let was_probed = self.shut && self.probes >= ORDERS_TRIED;
-        is_stuck || was_probed || run.doubtful_orders() >= ORDERS_TRIED
+        is_stuck || was_probed || run.orders_in_doubt() >= ORDERS_TRIED
     }
 
     /// Says whether the latest order that was answered was taken.
@@ -190,7 +190,7 @@
             options.order_retry_ms,
             options.probe_limit_ms,
             contact.probes,
-            seed_of(name.0, name.1),
+            jitter_seed(name.0, name.1),
         );
         contact.probe_at = now.plus(wait_ms);
     }
@@ -281,7 +281,7 @@
 fn unsettled_since(run: &WorkerRun) -> Option<Millis> {
     if run.phase == Phase::Stopping {
         // One that was taken has its effect within moments; the end is listed then.
-        return run.stop_taken_at.or(Some(run.doubt_since));
+        return run.stop_accepted_at.or(Some(run.doubt_since));
     }
     run.in_doubt_since()
 }
--- a/crates/sched/src/counts.rs
+++ b/crates/sched/src/counts.rs
@@ -70,7 +70,7 @@
         }
         for worker in self.workers.values() {
             counts.runs += worker.runs.len();
-            counts.usable_workers += usize::from(worker.usable(now));
+            counts.usable_workers += usize::from(worker.is_usable(now));
             counts.add_doubts(worker, now);
             if worker.silent {
                 counts.add_silence(worker, now);
--- a/crates/sched/src/gang.rs
+++ b/crates/sched/src/gang.rs
@@ -6,9 +6,9 @@
 use crate::StopReason;
 use crate::WorkerKey;
 use crate::ids::JobKey;
-use crate::place::victims;
+use crate::placement::find_victims;
 use crate::units::Place;
-use crate::worker::fits;
+use crate::worker::fit_count;
 
 /// A ticket that is good for less than this is asked for anew while room is being made.
 const FRESH_MS: u64 = 300;
@@ -74,7 +74,7 @@
                 return;
             }
             let worker = &self.workers[*key];
-            has_room &= !reservation.isolated || !worker.has_probation();
+            has_room &= !reservation.isolated || !worker.has_run_on_probation();
             has_room &= need.saturating_mul(*count).fits_in(&worker.free());
             if !self.has_ticket(job, step, *key, now) {
                 stale.push(*key);
@@ -87,9 +87,9 @@
         }
         if has_room && stale.is_empty() {
             let unit = 0;
-            if self.is_announced(Place { job, step, unit }) {
+            if self.ensure_announced(Place { job, step, unit }) {
                 let members: Vec<_> = reservation.members().collect();
-                self.free_reserved(job, step, unit);
+                self.drop_reservation(job, step, unit);
                 self.start_unit(job, step, unit, &members, now);
                 return;
             }
@@ -118,7 +118,7 @@
         let limit = spec.limit_on_a_worker();
         let mut held = 0;
         for key in candidates {
-            held += fits(&self.workers[*key].spec.capacity, &spec.room(), limit);
+            held += fit_count(&self.workers[*key].spec.capacity, &spec.room(), limit);
         }
         held >= spec.tasks.saturating_mul(CHOICE)
     }
@@ -131,7 +131,7 @@
         if of_job.spec.policy.advice.is_some() {
             candidates.retain(|key| of_step.advice.tickets.contains_key(key));
         }
-        let avoid = self.avoided(job, step, 0, now);
+        let avoid = self.avoided_workers(job, step, 0, now);
         candidates.retain(|key| !avoid.contains(key));
         if of_step.units[0].crashes() > 0 {
             candidates.retain(|key| !self.workers[*key].has_suspect());
@@ -205,12 +205,12 @@
         let mut offers = Vec::new();
         for key in candidates {
             let worker = &self.workers[*key];
-            let limit = limit.saturating_sub(worker.tasks_of(id));
-            let free = fits(&worker.room(), &spec.room(), limit);
+            let limit = limit.saturating_sub(worker.count_runs_of(id));
+            let free = fit_count(&worker.available(), &spec.room(), limit);
             let mut with_preemption = free;
             while with_preemption < limit {
                 let more = spec.room().saturating_mul(with_preemption + 1);
-                if victims(worker, &more, priority).is_none() {
+                if find_victims(worker, &more, priority).is_none() {
                     break;
                 }
                 with_preemption += 1;
@@ -233,7 +233,7 @@
         let mut stops = Vec::new();
         for (key, count) in &plan.workers {
             let needed = need.saturating_mul(*count);
-            let found = victims(&self.workers[*key], &needed, priority);
+            let found = find_victims(&self.workers[*key], &needed, priority);
             for (task, run) in found.unwrap_or_default() {
                 stops.push((*key, task, run));
             }
--- a/crates/sched/src/headroom.rs
+++ b/crates/sched/src/headroom.rs
@@ -9,17 +9,17 @@
 use crate::ids::JobKey;
 
 /// Priority of urgent work.
-const URGENT: u32 = 0;
+const URGENT_PRIORITY: u32 = 0;
 
 /// Share of the urgent work's usual room that is left free, in hundredths.
-const SHARE_OF_LEVEL: u64 = 40;
+const LEVEL_PERCENT: u64 = 40;
 
 /// Most that is left free of all workers together, in hundredths.
-const SHARE_OF_CAPACITY: u64 = 7;
+const CAPACITY_PERCENT: u64 = 7;
 
 /// Part of the way that the level moves to the present use each time that it is looked at, in
 /// hundredths: with a look every 100 ms it forgets within seconds.
-const LEVEL_STEP: u64 = 3;
+const SMOOTHING_PERCENT: u64 = 3;
 
 /// What urgent work uses, and what is free, in thousandths of a core.
 #[derive(Debug, Clone, Copy, Default)]
@@ -33,31 +33,35 @@
 }
 
 impl Headroom {
-    const fn wanted(&self) -> u64 {
-        let of_level = self.level / 100 * SHARE_OF_LEVEL / 100;
-        let most = self.capacity * SHARE_OF_CAPACITY / 100;
-        if of_level < most { of_level } else { most }
+    const fn target(&self) -> u64 {
+        let by_level = self.level / 100 * LEVEL_PERCENT / 100;
+        let by_capacity = self.capacity * CAPACITY_PERCENT / 100;
+        if by_level < by_capacity {
+            by_level
+        } else {
+            by_capacity
+        }
     }
 
     /// Takes note that free room was given away.
-    pub(crate) const fn take(&mut self, cpu_millis: u64) {
+    pub(crate) const fn consume(&mut self, cpu_millis: u64) {
         self.free = self.free.saturating_sub(cpu_millis);
     }
 }
 
 impl Scheduler {
     /// Looks at how much urgent work there is.
-    pub(crate) fn watch_headroom(&mut self) {
+    pub(crate) fn update_headroom_level(&mut self) {
         let mut used = 0;
         for worker in self.workers.values() {
             for run in worker.runs.values() {
-                if run.priority == URGENT {
+                if run.priority == URGENT_PRIORITY {
                     used += run.resources.cpu_millis;
                 }
             }
         }
         let level = &mut self.headroom.level;
-        *level = (*level * (100 - LEVEL_STEP) + used * 100 * LEVEL_STEP) / 100;
+        *level = (*level * (100 - SMOOTHING_PERCENT) + used * 100 * SMOOTHING_PERCENT) / 100;
     }
 
     /// Adds up what is free before a look at the waiting tasks.
@@ -66,8 +70,8 @@
         let mut free = 0;
         for worker in self.workers.values() {
             capacity += worker.spec.capacity.cpu_millis;
-            if worker.usable(now) {
-                free += worker.room().cpu_millis;
+            if worker.is_usable(now) {
+                free += worker.available().cpu_millis;
             }
         }
         self.headroom.capacity = capacity;
@@ -79,10 +83,10 @@
     pub(crate) fn would_use_headroom(&self, job: JobKey, step: usize) -> bool {
         let job = &self.jobs[job];
         let spec = &job.steps[step].spec;
-        if job.spec.policy.priority == URGENT || spec.fills {
+        if job.spec.policy.priority == URGENT_PRIORITY || spec.fills {
             return false;
         }
         let left = self.headroom.free.saturating_sub(spec.room().cpu_millis);
-        left < self.headroom.wanted()
+        left < self.headroom.target()
     }
 }
--- a/crates/sched/src/scatter.rs
+++ b/crates/sched/src/jitter.rs
@@ -9,7 +9,7 @@
 use crate::TaskId;
 
 /// Returns what scatters the repeats of orders about a run: the core draws no random numbers of its own.
-pub(crate) fn seed_of(task: TaskId, run: Run) -> u64 {
+pub(crate) fn jitter_seed(task: TaskId, run: Run) -> u64 {
     let mut hasher = Xxh3::new();
     (task, run).hash(&mut hasher);
     hasher.finish()
--- a/crates/sched/src/job.rs
+++ b/crates/sched/src/job.rs
@@ -21,10 +21,10 @@
 use crate::TaskId;
 use crate::Version;
 use crate::WorkerKey;
-use crate::blame::Blame;
+use crate::crash_history::CrashHistory;
 use crate::keeping::EndStamp;
-use crate::placed::PlacedBefore;
-use crate::placed::placed_names;
+use crate::predecessor_placement::PredecessorPlacement;
+use crate::predecessor_placement::member_worker_names;
 use crate::progress::StepProgress;
 use crate::progress::UnitProgress;
 
@@ -81,9 +81,9 @@
     /// Workers on which it failed; it goes elsewhere where it can.
     pub(crate) avoid: Vec<WorkerKey>,
     /// What its members are suspected of, by their position.
-    pub(crate) blames: BTreeMap<usize, Blame>,
+    pub(crate) blames: BTreeMap<usize, CrashHistory>,
     /// Where a predecessor started it last.
-    pub(crate) placed_before: PlacedBefore,
+    pub(crate) placed_before: PredecessorPlacement,
     /// Room that is kept for it, and until when.
     pub(crate) reservation: Option<Reservation>,
     /// Whether the store is told where it is about to be started.
@@ -134,7 +134,7 @@
             moves: 0,
             avoid: Vec::new(),
             blames: BTreeMap::new(),
-            placed_before: PlacedBefore::NOWHERE,
+            placed_before: PredecessorPlacement::NONE,
             reservation: None,
             announced: None,
         }
@@ -448,10 +448,10 @@
         unit.accounted = of_unit.accounted;
         unit.failed = of_unit.failed;
         unit.checkpoint = of_unit.checkpoint.clone();
-        unit.placed_before = PlacedBefore::restored(of_unit);
+        unit.placed_before = PredecessorPlacement::restored(of_unit);
         for (member, count) in &of_unit.crashes {
             let member = usize::try_from(*member).unwrap_or(usize::MAX);
-            unit.blames.insert(member, Blame::restored(*count));
+            unit.blames.insert(member, CrashHistory::restored(*count));
             step.suspected_at = Some(Millis(0));
         }
     }
@@ -477,7 +477,7 @@
             kept.accounted = unit.accounted;
             kept.failed = unit.failed;
             kept.checkpoint = unit.checkpoint.clone();
-            kept.workers = placed_names(unit, name_of);
+            kept.workers = member_worker_names(unit, name_of);
             kept.crashes = crashes_of(unit);
         }
         let index = u32::try_from(index).unwrap_or(u32::MAX);
@@ -492,9 +492,9 @@
 
 fn crashes_of(unit: &Unit) -> BTreeMap<u32, CrashCount> {
     let mut crashes = BTreeMap::new();
-    for (member, blame) in &unit.blames {
+    for (member, history) in &unit.blames {
         let member = u32::try_from(*member).unwrap_or(u32::MAX);
-        crashes.insert(member, blame.count);
+        crashes.insert(member, history.count);
     }
     crashes
 }
--- a/crates/sched/src/rebirth.rs
+++ b/crates/sched/src/misdirected.rs
@@ -17,9 +17,9 @@
 
 /// A run that may have reached a later life of its worker.
 #[derive(Debug, Clone)]
-pub(crate) struct Misdirected {
+pub(crate) struct MisdirectedRun {
     /// The life that it was meant for.
-    meant_for: WorkerKey,
+    intended_worker: WorkerKey,
     /// The name of the worker.
     name: SmolStr,
     task: TaskId,
@@ -30,29 +30,29 @@
 }
 
 impl Scheduler {
-    pub(crate) fn reborn(&mut self, key: WorkerKey, now: Millis) {
+    pub(crate) fn worker_restarted(&mut self, key: WorkerKey, now: Millis) {
         if !self.workers.contains_key(key) {
             return;
         }
-        self.blame_for_crash(key, now);
-        self.set_misdirected_aside(key, now);
+        self.record_worker_crash(key, now);
+        self.set_unreported_runs_aside(key, now);
         self.lose_runs(key, "reborn", now);
         self.detach(key);
-        self.meet_misdirected(now);
+        self.resolve_misdirected(now);
     }
 
-    fn set_misdirected_aside(&mut self, key: WorkerKey, now: Millis) {
+    fn set_unreported_runs_aside(&mut self, key: WorkerKey, now: Millis) {
         let ended_at = now.plus(self.options.longest_lease_ms);
         let worker = &mut self.workers[key];
         let name = SmolStr::new(worker.spec.id.name());
-        let unlisted = worker.runs.iter().filter(|(_, run)| !run.listed);
-        let unlisted: Vec<_> = unlisted.map(|(name, _)| *name).collect();
-        for (task, run) in unlisted {
+        let unreported = worker.runs.iter().filter(|(_, run)| !run.reported);
+        let unreported: Vec<_> = unreported.map(|(name, _)| *name).collect();
+        for (task, run) in unreported {
             let Some(held) = worker.remove(task, run) else {
                 continue;
             };
-            self.misdirected.push(Misdirected {
-                meant_for: key,
+            self.misdirected.push(MisdirectedRun {
+                intended_worker: key,
                 name: name.clone(),
                 task,
                 run,
@@ -63,12 +63,14 @@
     }
 
     /// Has runs stopped on the lives of their workers that they may have reached, as far as these are known.
-    pub(crate) fn meet_misdirected(&mut self, now: Millis) {
+    pub(crate) fn resolve_misdirected(&mut self, now: Millis) {
         for misdirected in std::mem::take(&mut self.misdirected) {
             let name = misdirected.name.as_str();
             let mut workers = self.workers.iter();
             let found = workers.find(|(key, worker)| {
-                *key != misdirected.meant_for && worker.listed && worker.spec.id.name() == name
+                *key != misdirected.intended_worker
+                    && worker.registered
+                    && worker.spec.id.name() == name
             });
             match found.map(|(key, _)| key) {
                 Some(key) => self.stop_misdirected(key, misdirected, now),
@@ -77,24 +79,24 @@
         }
     }
 
-    fn stop_misdirected(&mut self, key: WorkerKey, misdirected: Misdirected, now: Millis) {
-        let Misdirected {
-            meant_for,
+    fn stop_misdirected(&mut self, key: WorkerKey, misdirected: MisdirectedRun, now: Millis) {
+        let MisdirectedRun {
+            intended_worker,
             task,
             run,
             held,
             ended_at,
             ..
         } = misdirected;
-        self.move_member(task, run, meant_for, key);
+        self.reassign_member(task, run, intended_worker, key);
         let worker = &mut self.workers[key];
         worker.lapse_at = worker.lapse_at.max(ended_at);
-        worker.insert(task, run, held.unsettled(now));
+        worker.insert(task, run, held.into_unconfirmed(now));
         self.stop_run(key, task, run, StopReason::StartInDoubt, now);
     }
 
     /// Takes note that a member of a unit is on another life of its worker, if anywhere.
-    fn move_member(&mut self, task: TaskId, run: Run, from: WorkerKey, to: WorkerKey) {
+    fn reassign_member(&mut self, task: TaskId, run: Run, from: WorkerKey, to: WorkerKey) {
         let Some((job, step, unit, member)) = self.locate(task) else {
             return;
         };
@@ -119,13 +121,13 @@
     }
 
     /// Takes the runs as ended whose workers nobody has heard of again.
-    pub(crate) fn give_up_misdirected(&mut self, now: Millis) {
+    pub(crate) fn expire_misdirected(&mut self, now: Millis) {
         let (over, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.misdirected)
             .into_iter()
             .partition(|misdirected| misdirected.ended_at <= now);
         self.misdirected = waiting;
-        for Misdirected {
-            meant_for,
+        for MisdirectedRun {
+            intended_worker,
             task,
             run,
             held,
@@ -139,18 +141,25 @@
                 unit.lapsed = unit.lapsed.max(run);
             }
             let checkpoint = held.checkpoint;
-            self.account(meant_for, task, run, Outcome::Interrupted, checkpoint, now);
+            self.account(
+                intended_worker,
+                task,
+                run,
+                Outcome::Interrupted,
+                checkpoint,
+                now,
+            );
         }
     }
 }
 
 impl WorkerRun {
     /// Returns it as one of which nothing is known but that it may run.
-    fn unsettled(self, now: Millis) -> Self {
+    fn into_unconfirmed(self, now: Millis) -> Self {
         Self {
             phase: crate::worker::Phase::Starting,
             confirmed_at: None,
-            stop_taken_at: None,
+            stop_accepted_at: None,
             doubt_since: now,
             in_flight: false,
             ..self
--- a/crates/sched/src/note.rs
+++ b/crates/sched/src/note.rs
@@ -3,11 +3,11 @@
 use smol_str::SmolStr;
 use syc_types::WorkerId;
 
-use crate::Hindered;
 use crate::JobId;
 use crate::Run;
 use crate::StepId;
 use crate::TaskId;
+use crate::UnusableWorkers;
 use crate::VmNote;
 
 /// The run of a worker that had been ordered last when the worker was lost.
@@ -97,7 +97,7 @@
         /// Workers that might run it, with tickets that may be too old.
         known: usize,
         /// Workers of its service that get nothing new.
-        hindered: Hindered,
+        hindered: UnusableWorkers,
         /// Tasks that wait.
         tasks: u32,
     },
--- a/crates/sched/src/orders.rs
+++ b/crates/sched/src/orders.rs
@@ -63,7 +63,7 @@
             return;
         };
         of_run.copies = of_run.copies.saturating_sub(1);
-        if of_run.copies > 0 || of_run.listed {
+        if of_run.copies > 0 || of_run.reported {
             return;
         }
         // It goes elsewhere first.
@@ -86,7 +86,7 @@
         };
         // An earlier copy of the order may have been carried out: the reports tell.
         let in_doubt = of_run.copies > 1 && refusal == StartRefusal::OldRun;
-        if in_doubt || of_run.listed {
+        if in_doubt || of_run.reported {
             self.stop_run(key, task, run, StopReason::StartInDoubt, now);
             return;
         }
@@ -206,7 +206,7 @@
             ordered_at = of_run.ordered_at;
             of_run.in_flight = false;
             if taken {
-                of_run.stop_taken_at.get_or_insert(now);
+                of_run.stop_accepted_at.get_or_insert(now);
             }
         }
         if taken {
--- a/crates/sched/src/pacing.rs
+++ b/crates/sched/src/pacing.rs
@@ -16,8 +16,8 @@
 use crate::WorkerKey;
 use crate::WorkerNote;
 use crate::ids::JobKey;
+use crate::worker::CpuShare;
 use crate::worker::Phase;
-use crate::worker::Share;
 use crate::worker::Worker;
 use crate::worker::WorkerRun;
 
@@ -155,10 +155,12 @@
 fn worst_tail_percent(worker: &Worker) -> Option<u64> {
     let tails = worker.runs.values().filter_map(|run| match run.share {
         // Until its first figure, a run counts as one with neither slack nor want.
-        Share::Serves { limit_ms, tail_ms } => Some(tail_ms.map_or(LOW_TAIL_PERCENT, |tail_ms| {
-            tail_ms.saturating_mul(100) / limit_ms.max(1)
-        })),
-        Share::Reserved { .. } | Share::Fills(_) => None,
+        CpuShare::LatencyBound { limit_ms, tail_ms } => {
+            Some(tail_ms.map_or(LOW_TAIL_PERCENT, |tail_ms| {
+                tail_ms.saturating_mul(100) / limit_ms.max(1)
+            }))
+        }
+        CpuShare::Reserved { .. } | CpuShare::Fills(_) => None,
     });
     tails.max()
 }
@@ -170,7 +172,7 @@
         let Some(worker) = self.workers.get(worker) else {
             return usual_ms;
         };
-        let serves = worker.runs.values().any(WorkerRun::serves);
+        let serves = worker.runs.values().any(WorkerRun::is_latency_bound);
         let filled = worker.runs.values().any(WorkerRun::fills);
         // Until a suspect is known not to take its worker down, its step or its worker waits.
         if serves && filled || worker.has_suspect() {
@@ -217,7 +219,7 @@
         let percent = worker.pace.percent;
         for ((task, run), of_run) in &mut worker.runs {
             let is_running = of_run.phase == Phase::Running;
-            let Share::Fills(fill) = &mut of_run.share else {
+            let CpuShare::Fills(fill) = &mut of_run.share else {
                 continue;
             };
             if !is_running || !fill.needs(percent, now) {
@@ -248,7 +250,7 @@
         let Some(of_run) = worker.runs.get_mut(&name) else {
             return;
         };
-        let Share::Fills(fill) = &mut of_run.share else {
+        let CpuShare::Fills(fill) = &mut of_run.share else {
             return;
         };
         fill.in_flight = false;
@@ -271,7 +273,7 @@
                 continue;
             }
             for ((serving, _), of_serving) in &worker.runs {
-                if of_serving.serves() {
+                if of_serving.is_latency_bound() {
                     met.push((self.image_of(*fill), self.image_of(*serving)));
                 }
             }
@@ -309,7 +311,7 @@
         };
         let spare = candidates
             .iter()
-            .map(|key| (self.workers[*key].unused_cpu_millis(), *key));
+            .map(|key| (self.workers[*key].idle_cpu_millis(), *key));
         let spare = spare.filter(|(unused, _)| *unused >= least);
         let ranked = spare.map(|(unused, key)| {
             let got = unused.min(wanted) * 100 / wanted.max(1);
@@ -324,7 +326,7 @@
     fn expected_pace(&self, key: WorkerKey, image: &SmolStr) -> u32 {
         let mut expected = u32::from(FULL);
         for ((task, _), of_run) in &self.workers[key].runs {
-            if !of_run.serves() {
+            if !of_run.is_latency_bound() {
                 continue;
             }
             let serves = self.image_of(*task);
--- a/crates/sched/src/place.rs
+++ b/crates/sched/src/placement.rs
@@ -10,7 +10,7 @@
 use crate::StopReason;
 use crate::TaskId;
 use crate::WorkerKey;
-use crate::blame::Probation;
+use crate::crash_history::Probation;
 use crate::ids::JobKey;
 use crate::job::Reservation;
 use crate::job::Unit;
@@ -21,7 +21,7 @@
 use crate::worker::WorkerRun;
 
 /// Most units for which running work is stopped in one look at a step.
-const PREEMPTIONS_PER_LOOK: u32 = 4;
+const PREEMPTIONS_PER_PASS: u32 = 4;
 
 impl Scheduler {
     /// Looks at every waiting task and returns what is to be done.
@@ -31,45 +31,45 @@
             if self.jobs[job].steps[step].spec.gang {
                 self.serve_gang(job, step, now);
             } else {
-                self.serve_tasks(job, step, now);
+                self.place_tasks(job, step, now);
             }
             self.tell_waiting(job, step, now);
         }
         std::mem::take(&mut self.actions)
     }
 
-    fn serve_tasks(&mut self, job: JobKey, step: usize, now: Millis) {
+    fn place_tasks(&mut self, job: JobKey, step: usize, now: Millis) {
         let allowed = self.allowed_now(job, step, now);
         let mut preemptions = 0;
-        let turn = self.turn_of(job, step);
+        let startable = self.startable_units(job, step);
         for unit in 0..self.jobs[job].steps[step].units.len() {
             let is_pending = self.jobs[job].steps[step].units[unit].state == UnitState::Pending;
-            if !is_pending || !turn.is_of(unit) {
+            if !is_pending || !startable.includes(unit) {
                 continue;
             }
             if self.jobs[job].steps[step].units[unit].reservation.is_some() {
-                self.serve_reserved_task(job, step, unit, now);
+                self.place_reserved_task(job, step, unit, now);
                 continue;
             }
             if self.would_use_headroom(job, step) {
                 break;
             }
-            let fitting = self.fitting(job, step, unit, &allowed, now);
+            let fitting = self.fitting_workers(job, step, unit, &allowed, now);
             if self.jobs[job].steps[step].units[unit].crashes() > 0 && !fitting.is_empty() {
-                self.start_suspect(Place { job, step, unit }, &fitting, now);
+                self.place_suspect(Place { job, step, unit }, &fitting, now);
                 continue;
             }
-            if let Some(worker) = self.pick(job, step, &fitting, now) {
+            if let Some(worker) = self.pick_worker(job, step, &fitting, now) {
                 self.start_unit(job, step, unit, &[worker], now);
                 continue;
             }
             // There is room on workers whose next answer is awaited.
-            if fitting.iter().any(|key| self.is_awaited(*key)) {
+            if fitting.iter().any(|key| self.is_awaiting_answer(*key)) {
                 return;
             }
             let may_preempt =
-                preemptions < PREEMPTIONS_PER_LOOK && !self.jobs[job].steps[step].spec.fills;
-            if may_preempt && self.make_room(job, step, unit, &allowed, now) {
+                preemptions < PREEMPTIONS_PER_PASS && !self.jobs[job].steps[step].spec.fills;
+            if may_preempt && self.preempt_for(job, step, unit, &allowed, now) {
                 preemptions += 1;
                 continue;
             }
@@ -84,13 +84,13 @@
     }
 
     /// Says whether a worker takes in no more before its next answer, which comes within moments.
-    fn is_awaited(&self, key: WorkerKey) -> bool {
+    fn is_awaiting_answer(&self, key: WorkerKey) -> bool {
         let worker = &self.workers[key];
-        !worker.takes_in() && worker.contact.is_sound()
+        !worker.may_take_start() && worker.contact.is_sound()
     }
 
     /// Picks the worker that a task fits best, of those on which it fits and that take in more.
-    fn pick(
+    fn pick_worker(
         &self,
         job: JobKey,
         step: usize,
@@ -98,34 +98,42 @@
         now: Millis,
     ) -> Option<WorkerKey> {
         let spec = &self.jobs[job].steps[step].spec;
-        let takes_in = |key: &WorkerKey| self.workers[*key].takes_in();
+        let may_take_start = |key: &WorkerKey| self.workers[*key].may_take_start();
         // One that is better is waited for.
-        let is_choice = |key: &WorkerKey| takes_in(key) || self.is_awaited(*key);
-        let mut choice: Vec<_> = fitting.iter().copied().filter(is_choice).collect();
-        let is_far = |key: &WorkerKey| is_far(&self.workers[*key], spec.data_rack.as_ref());
-        if spec.data_rack.is_some() && !choice.iter().all(is_far) {
-            choice.retain(|key| !is_far(key));
+        let is_candidate = |key: &WorkerKey| may_take_start(key) || self.is_awaiting_answer(*key);
+        let mut candidates: Vec<_> = fitting.iter().copied().filter(is_candidate).collect();
+        let is_outside_rack =
+            |key: &WorkerKey| is_outside_rack(&self.workers[*key], spec.data_rack.as_ref());
+        if spec.data_rack.is_some() && !candidates.iter().all(is_outside_rack) {
+            candidates.retain(|key| !is_outside_rack(key));
         }
         if spec.fills {
-            choice.retain(takes_in);
-            return self.pick_to_fill(job, step, &choice, now);
+            candidates.retain(may_take_start);
+            return self.pick_to_fill(job, step, &candidates, now);
         }
-        if choice.iter().any(|key| !self.awaits_upkeep(*key)) {
-            choice.retain(|key| !self.awaits_upkeep(*key));
+        if candidates.iter().any(|key| !self.awaits_upkeep(*key)) {
+            candidates.retain(|key| !self.awaits_upkeep(*key));
         }
-        choice.retain(takes_in);
+        candidates.retain(may_take_start);
         let need = spec.room();
-        let serves = spec.tail_limit_ms.is_some();
-        choice.into_iter().min_by_key(|key| {
+        let is_latency_bound = spec.tail_limit_ms.is_some();
+        candidates.into_iter().min_by_key(|key| {
             let worker = &self.workers[*key];
             // Runs that serve disturb each other.
-            let others = if serves { worker.serving() } else { 0 };
-            (others, left_over(worker, &worker.room(), &need))
+            let others = if is_latency_bound {
+                worker.latency_bound_runs()
+            } else {
+                0
+            };
+            (
+                others,
+                leftover_permille(worker, &worker.available(), &need),
+            )
         })
     }
 
     /// Returns those of the workers on which a unit's task fits and may run.
-    fn fitting(
+    fn fitting_workers(
         &self,
         job: JobKey,
         step: usize,
@@ -134,19 +142,19 @@
         now: Millis,
     ) -> Vec<WorkerKey> {
         let need = self.jobs[job].steps[step].spec.room();
-        let avoid = self.avoided(job, step, unit, now);
+        let avoid = self.avoided_workers(job, step, unit, now);
         let is_suspected = self.jobs[job].steps[step].units[unit].crashes() > 0;
         let mut fitting = Vec::new();
         for key in allowed {
             let worker = &self.workers[*key];
-            if !need.fits_in(&worker.room()) || avoid.contains(key) {
+            if !need.fits_in(&worker.available()) || avoid.contains(key) {
                 continue;
             }
             // Were both started there, the next crash would not tell which of them it was.
             if is_suspected && worker.has_suspect() {
                 continue;
             }
-            if self.may_share(*key, job, step, unit) {
+            if self.is_below_task_limit(*key, job, step, unit) {
                 fitting.push(*key);
             }
         }
@@ -154,7 +162,7 @@
     }
 
     /// Returns the workers that a unit does not go to for now, since it failed there.
-    pub(crate) fn avoided(
+    pub(crate) fn avoided_workers(
         &self,
         job: JobKey,
         step: usize,
@@ -171,12 +179,18 @@
 
     /// Says whether a worker may run another task of a step: what runs there and what room is kept
     /// there for other units both count.
-    fn may_share(&self, worker: WorkerKey, job: JobKey, step: usize, unit: usize) -> bool {
+    fn is_below_task_limit(
+        &self,
+        worker: WorkerKey,
+        job: JobKey,
+        step: usize,
+        unit: usize,
+    ) -> bool {
         let of_step = &self.jobs[job].steps[step];
         let Some(bound) = of_step.spec.tasks_per_worker else {
             return true;
         };
-        let mut tasks = self.workers[worker].tasks_of(self.step_id(job, step));
+        let mut tasks = self.workers[worker].count_runs_of(self.step_id(job, step));
         for (index, other) in of_step.units.iter().enumerate() {
             let Some(reservation) = other.reservation.as_ref().filter(|_| index != unit) else {
                 continue;
@@ -188,7 +202,7 @@
     }
 
     /// Stops less urgent work on one worker, and keeps the room for a unit.
-    fn make_room(
+    fn preempt_for(
         &mut self,
         job: JobKey,
         step: usize,
@@ -199,15 +213,15 @@
         let of_job = &self.jobs[job];
         let priority = of_job.spec.policy.priority;
         let need = of_job.steps[step].spec.room();
-        let avoid = self.avoided(job, step, unit, now);
+        let avoid = self.avoided_workers(job, step, unit, now);
         let mut best: Option<(WorkerKey, Victims)> = None;
         for key in allowed {
             let worker = &self.workers[*key];
-            let avoided = avoid.contains(key) || !worker.takes_in();
-            if avoided || !self.may_share(*key, job, step, unit) {
+            let avoided = avoid.contains(key) || !worker.may_take_start();
+            if avoided || !self.is_below_task_limit(*key, job, step, unit) {
                 continue;
             }
-            let Some(victims) = victims(worker, &need, priority) else {
+            let Some(victims) = find_victims(worker, &need, priority) else {
                 continue;
             };
             if best
@@ -243,8 +257,8 @@
         for (worker, count) in &workers {
             let worker = &mut self.workers[*worker];
             worker.reserved = worker.reserved.saturating_add(&need.saturating_mul(*count));
-            worker.suspects += u32::from(suspected);
-            worker.isolations += u32::from(isolated);
+            worker.reserved_suspects += u32::from(suspected);
+            worker.reserved_isolations += u32::from(isolated);
         }
         let until = now.plus(self.options.reservation_ms);
         let unit = &mut self.jobs[job].steps[step].units[unit];
@@ -258,12 +272,12 @@
 
     /// Gives up the room that is kept for a unit.
     pub(crate) fn release_reservation(&mut self, job: JobKey, step: usize, unit: usize) {
-        self.take_back_announced(Place { job, step, unit });
-        self.free_reserved(job, step, unit);
+        self.retract_announcement(Place { job, step, unit });
+        self.drop_reservation(job, step, unit);
     }
 
     /// Frees the room that is kept for a unit.
-    pub(crate) fn free_reserved(&mut self, job: JobKey, step: usize, unit: usize) {
+    pub(crate) fn drop_reservation(&mut self, job: JobKey, step: usize, unit: usize) {
         let of_step = &mut self.jobs[job].steps[step];
         let need = of_step.spec.room();
         let Some(reservation) = of_step.units[unit].reservation.take() else {
@@ -272,8 +286,8 @@
         for (worker, count) in reservation.workers {
             if let Some(worker) = self.workers.get_mut(worker) {
                 worker.reserved = worker.reserved.saturating_sub(&need.saturating_mul(count));
-                worker.suspects -= u32::from(reservation.suspected);
-                worker.isolations -= u32::from(reservation.isolated);
+                worker.reserved_suspects -= u32::from(reservation.suspected);
+                worker.reserved_isolations -= u32::from(reservation.isolated);
             }
         }
     }
@@ -291,14 +305,14 @@
     pub(crate) fn may_use_reserved(&self, key: WorkerKey, isolated: bool, now: Millis) -> bool {
         self.workers.get(key).is_some_and(|worker| {
             if isolated {
-                worker.is_sound(now)
+                worker.is_usable_for_isolation(now)
             } else {
-                worker.usable(now)
+                worker.is_usable(now)
             }
         })
     }
 
-    pub(crate) fn serve_reserved_task(
+    pub(crate) fn place_reserved_task(
         &mut self,
         job: JobKey,
         step: usize,
@@ -316,13 +330,13 @@
         };
         let isolated = reservation.isolated;
         let usable = self.may_use_reserved(worker, isolated, now);
-        let is_clear = usable && !(isolated && self.workers[worker].has_probation());
+        let is_clear = usable && !(isolated && self.workers[worker].has_run_on_probation());
         let fits = is_clear && need.fits_in(&self.workers[worker].free());
-        if fits && self.may_share(worker, job, step, unit) {
+        if fits && self.is_below_task_limit(worker, job, step, unit) {
             if !self.has_ticket(job, step, worker, now) {
                 self.ask_again(job, step, &[worker], now);
-            } else if self.is_announced(Place { job, step, unit }) {
-                self.free_reserved(job, step, unit);
+            } else if self.ensure_announced(Place { job, step, unit }) {
+                self.drop_reservation(job, step, unit);
                 self.start_unit(job, step, unit, &[worker], now);
                 return;
             }
@@ -363,7 +377,7 @@
             step: step_index,
             unit: unit_index,
         };
-        if self.unit_mut(place).is_proved_guilty() {
+        if self.unit_mut(place).exceeds_crash_limit() {
             self.fail_if_spent(place, now);
             return;
         }
@@ -412,14 +426,14 @@
         let unit = of_step
             .unit_of(task.index)
             .map(|(unit, _)| &of_step.units[unit]);
-        let blame = unit.map(Unit::worst_blame).unwrap_or_default();
+        let history = unit.map(Unit::worst_crash_history).unwrap_or_default();
         let held = WorkerRun {
-            probation: Probation::of(blame),
+            probation: Probation::of(history),
             ticket: ticket.clone(),
             resumed: of_step.resumes(task.index),
             ..WorkerRun::starting(&of_step.spec, of_job.spec.policy.priority, now)
         };
-        self.headroom.take(held.resources.cpu_millis);
+        self.headroom.consume(held.resources.cpu_millis);
         self.workers[worker].insert(task, run, held);
         self.order_start(worker, task, run, ticket, 0, now);
     }
@@ -433,7 +447,7 @@
 ///
 /// Members of gangs are left alone: with one of them the whole gang ends, and needs room on all its
 /// workers at once to go on: one task's room would cost a gang's work again and again.
-pub(crate) fn victims(worker: &Worker, need: &Resources, priority: u32) -> Option<Victims> {
+pub(crate) fn find_victims(worker: &Worker, need: &Resources, priority: u32) -> Option<Victims> {
     let mut candidates: Vec<_> = worker
         .runs
         .iter()
@@ -446,22 +460,22 @@
     let mut freed = Resources::ZERO;
     let mut victims = Vec::new();
     for (name, of_run) in candidates {
-        if need.fits_in(&worker.room_without(&freed)) {
+        if need.fits_in(&worker.available_without(&freed)) {
             break;
         }
         freed = freed.saturating_add(&of_run.resources);
         victims.push(*name);
     }
-    need.fits_in(&worker.room_without(&freed))
+    need.fits_in(&worker.available_without(&freed))
         .then_some(victims)
 }
 
-fn is_far(worker: &Worker, rack: Option<&SmolStr>) -> bool {
+fn is_outside_rack(worker: &Worker, rack: Option<&SmolStr>) -> bool {
     rack.is_some_and(|rack| worker.spec.rack.as_str() != rack.as_str())
 }
 
 /// Returns what is left of a worker after a task, processor and memory together, in thousandths.
-fn left_over(worker: &Worker, room: &Resources, need: &Resources) -> u64 {
+fn leftover_permille(worker: &Worker, room: &Resources, need: &Resources) -> u64 {
     let left = room.saturating_sub(need);
     let capacity = &worker.spec.capacity;
     let cpu = left.cpu_millis.saturating_mul(1_000) / capacity.cpu_millis.max(1);
--- a/crates/sched/src/pools.rs
+++ b/crates/sched/src/pools.rs
@@ -18,24 +18,24 @@
 
 /// A service that lacks room for this long gets VMs. A move takes longer than most bursts of small
 /// tasks, and is paid for.
-const SHORT_MS: u64 = 1_000;
+const SHORTAGE_MS: u64 = 1_000;
 
 /// A VM that came and was idle for this long goes back, where half of the service's room is free.
 const IDLE_MS: u64 = 10_000;
 
 /// VMs that are on their way at the same time.
-const MOVES_AT_ONCE: usize = 6;
+const CONCURRENT_MOVES_LIMIT: usize = 6;
 
 /// A move that was done is seen in a list after this time at the latest; else it did not take place.
-const MOVE_LIMIT_MS: u64 = 10_000;
+const MOVE_TIMEOUT_MS: u64 = 10_000;
 
 /// A VM on its way to a pool.
 #[derive(Debug, Clone)]
-struct Moving {
+struct PendingMove {
     pool: ServiceName,
     ordered_at: Millis,
     /// Whether an answer is awaited.
-    awaited: bool,
+    awaiting_answer: bool,
     /// When it was done.
     done_at: Option<Millis>,
 }
@@ -45,10 +45,10 @@
 pub(crate) struct Pools {
     standby: BTreeSet<ServiceName>,
     /// Since when each service lacks room.
-    short_since: BTreeMap<ServiceName, Millis>,
-    moving: BTreeMap<VmId, Moving>,
+    lacking_since: BTreeMap<ServiceName, Millis>,
+    pending_moves: BTreeMap<VmId, PendingMove>,
     /// VMs that came from a pool on standby, and from which.
-    lent: BTreeMap<VmId, ServiceName>,
+    borrowed: BTreeMap<VmId, ServiceName>,
     idle_since: BTreeMap<VmId, Millis>,
     /// VMs that can't be in a pool.
     unfit: BTreeSet<(VmId, ServiceName)>,
@@ -63,54 +63,54 @@
 }
 
 impl Scheduler {
-    pub(crate) fn set_standby(&mut self, services: Vec<ServiceName>) {
+    pub(crate) fn set_standby_pools(&mut self, services: Vec<ServiceName>) {
         self.pools.standby = services.into_iter().collect();
     }
 
     /// Brings VMs to services that lack room, and sends idle ones back.
-    pub(crate) fn watch_pools(&mut self, now: Millis) {
+    pub(crate) fn balance_pools(&mut self, now: Millis) {
         if self.pools.standby.is_empty() || !self.recovery.is_settled() {
             return;
         }
         let demands = self.demands(now);
         let lacks = |demand: &Demand| !demand.waiting.fits_in(&demand.free);
-        let is_quiet = self.pools.moving.is_empty() && self.pools.lent.is_empty();
+        let is_quiet = self.pools.pending_moves.is_empty() && self.pools.borrowed.is_empty();
         if is_quiet && !demands.values().any(lacks) {
-            self.pools.short_since.clear();
+            self.pools.lacking_since.clear();
             return;
         }
-        self.ask_for_vms(now);
-        if !self.vms.may_order(now) {
+        self.request_vm_list(now);
+        if !self.vms.can_order(now) {
             return;
         }
         self.finish_moves(now);
         for (service, demand) in &demands {
             if lacks(demand) {
-                self.bring_vms(service, demand, now);
+                self.borrow_vms(service, demand, now);
             } else {
-                self.pools.short_since.remove(service);
+                self.pools.lacking_since.remove(service);
             }
         }
-        self.send_back(&demands, now);
-        self.repeat_moves(now);
+        self.return_idle_vms(&demands, now);
+        self.retry_moves(now);
     }
 
     /// Adds up what waits in each service, and what its workers have; VMs on their way count as free.
     fn demands(&self, now: Millis) -> BTreeMap<ServiceName, Demand> {
         let mut demands: BTreeMap<ServiceName, Demand> = BTreeMap::new();
         for worker in self.workers.values() {
-            if !worker.usable(now) {
+            if !worker.is_usable(now) {
                 continue;
             }
             let demand = demands.entry(worker.spec.service.clone()).or_default();
-            demand.free = demand.free.saturating_add(&worker.room());
+            demand.free = demand.free.saturating_add(&worker.available());
             demand.capacity = demand.capacity.saturating_add(&worker.spec.capacity);
         }
-        for (vm, moving) in &self.pools.moving {
+        for (vm, pending) in &self.pools.pending_moves {
             let Some(info) = self.vms.known.get(vm) else {
                 continue;
             };
-            let demand = demands.entry(moving.pool.clone()).or_default();
+            let demand = demands.entry(pending.pool.clone()).or_default();
             demand.free = demand.free.saturating_add(&info.capacity);
         }
         for key in &self.open {
@@ -133,20 +133,24 @@
     /// Forgets the moves that the list shows, and those that did not take place.
     fn finish_moves(&mut self, now: Millis) {
         let vms = &self.vms;
-        self.pools.moving.retain(|vm, moving| {
-            let Some(done_at) = moving.done_at else {
+        self.pools.pending_moves.retain(|vm, pending| {
+            let Some(done_at) = pending.done_at else {
                 return vms.known.contains_key(vm);
             };
             let seen = vms.seen_since(vm, done_at);
-            let is_there =
-                seen.is_some_and(|info| info.pool == moving.pool && info.state == VmState::Up);
-            !is_there && now.since(done_at) < MOVE_LIMIT_MS
+            let has_arrived =
+                seen.is_some_and(|info| info.pool == pending.pool && info.state == VmState::Up);
+            !has_arrived && now.since(done_at) < MOVE_TIMEOUT_MS
         });
     }
 
-    fn bring_vms(&mut self, service: &ServiceName, demand: &Demand, now: Millis) {
-        let since = *self.pools.short_since.entry(service.clone()).or_insert(now);
-        if now.since(since) < SHORT_MS {
+    fn borrow_vms(&mut self, service: &ServiceName, demand: &Demand, now: Millis) {
+        let since = *self
+            .pools
+            .lacking_since
+            .entry(service.clone())
+            .or_insert(now);
+        if now.since(since) < SHORTAGE_MS {
             return;
         }
         let mut lacking = demand.waiting.saturating_sub(&demand.free);
@@ -158,7 +162,7 @@
             .cloned()
             .collect();
         for info in candidates {
-            let is_busy = self.pools.moving.contains_key(&info.id);
+            let is_busy = self.pools.pending_moves.contains_key(&info.id);
             let is_unfit = self
                 .pools
                 .unfit
@@ -166,21 +170,25 @@
             if is_busy || is_unfit {
                 continue;
             }
-            if self.pools.moving.len() >= MOVES_AT_ONCE || lacking == Resources::ZERO {
+            if self.pools.pending_moves.len() >= CONCURRENT_MOVES_LIMIT
+                || lacking == Resources::ZERO
+            {
                 return;
             }
             lacking = lacking.saturating_sub(&info.capacity);
-            self.pools.lent.insert(info.id.clone(), info.pool.clone());
+            self.pools
+                .borrowed
+                .insert(info.id.clone(), info.pool.clone());
             self.note_pool_change(service, &info.id, demand, true);
             self.order_move(info.id, service.clone(), now);
         }
     }
 
     /// Sends VMs back that came for a while and have nothing to do any more.
-    fn send_back(&mut self, demands: &BTreeMap<ServiceName, Demand>, now: Millis) {
-        let lent: Vec<_> = self.pools.lent.clone().into_iter().collect();
-        for (vm, home) in lent {
-            if self.pools.moving.contains_key(&vm) {
+    fn return_idle_vms(&mut self, demands: &BTreeMap<ServiceName, Demand>, now: Millis) {
+        let borrowed: Vec<_> = self.pools.borrowed.clone().into_iter().collect();
+        for (vm, home) in borrowed {
+            if self.pools.pending_moves.contains_key(&vm) {
                 continue;
             }
             let Some(worker) = self.worker_on(&vm) else {
@@ -199,8 +207,8 @@
                 continue;
             }
             let service = of_worker.spec.service.clone();
-            self.workers[worker].emptying = true;
-            self.pools.lent.remove(&vm);
+            self.workers[worker].evacuating = true;
+            self.pools.borrowed.remove(&vm);
             self.pools.idle_since.remove(&vm);
             self.note_pool_change(&service, &vm, &demand, false);
             self.order_move(vm, home, now);
@@ -219,28 +227,28 @@
     }
 
     fn order_move(&mut self, vm: VmId, pool: ServiceName, now: Millis) {
-        let moving = Moving {
+        let pending = PendingMove {
             pool: pool.clone(),
             ordered_at: now,
-            awaited: true,
+            awaiting_answer: true,
             done_at: None,
         };
-        self.pools.moving.insert(vm.clone(), moving);
+        self.pools.pending_moves.insert(vm.clone(), pending);
         self.actions.push(Action::OrderVm {
             vm,
             duty: Duty::Move { pool },
         });
     }
 
-    fn repeat_moves(&mut self, now: Millis) {
-        let mut again = Vec::new();
-        for (vm, moving) in &self.pools.moving {
-            let is_open = moving.done_at.is_none() && !moving.awaited;
-            if is_open && now.since(moving.ordered_at) >= self.options.order_retry_ms {
-                again.push((vm.clone(), moving.pool.clone()));
+    fn retry_moves(&mut self, now: Millis) {
+        let mut retries = Vec::new();
+        for (vm, pending) in &self.pools.pending_moves {
+            let is_unanswered = pending.done_at.is_none() && !pending.awaiting_answer;
+            if is_unanswered && now.since(pending.ordered_at) >= self.options.order_retry_ms {
+                retries.push((vm.clone(), pending.pool.clone()));
             }
         }
-        for (vm, pool) in again {
+        for (vm, pool) in retries {
             self.order_move(vm, pool, now);
         }
     }
@@ -253,18 +261,18 @@
         answer: DutyAnswer,
         now: Millis,
     ) {
-        let Some(moving) = self.pools.moving.get_mut(vm) else {
+        let Some(pending) = self.pools.pending_moves.get_mut(vm) else {
             return;
         };
-        moving.awaited = false;
+        pending.awaiting_answer = false;
         match answer {
-            DutyAnswer::Done => moving.done_at = Some(now),
+            DutyAnswer::Done => pending.done_at = Some(now),
             DutyAnswer::Busy | DutyAnswer::InDoubt => {}
             DutyAnswer::Unfit => {
                 self.pools.unfit.insert((vm.clone(), pool.clone()));
-                self.pools.moving.remove(vm);
-                self.pools.lent.remove(vm);
-                self.keep_worker(vm);
+                self.pools.pending_moves.remove(vm);
+                self.pools.borrowed.remove(vm);
+                self.cancel_evacuation(vm);
             }
         }
     }
--- a/crates/sched/src/placed.rs
+++ b/crates/sched/src/predecessor_placement.rs
@@ -10,16 +10,16 @@
 
 /// The latest start of a unit by predecessors.
 #[derive(Debug, Clone)]
-pub(crate) struct PlacedBefore {
+pub(crate) struct PredecessorPlacement {
     /// Its number.
     pub(crate) run: Run,
     /// Workers of the members that are not known to have ended, by name.
     pub(crate) workers: Vec<Option<WorkerId>>,
 }
 
-impl PlacedBefore {
+impl PredecessorPlacement {
     /// Stands for a unit that no predecessor started.
-    pub(crate) const NOWHERE: Self = Self {
+    pub(crate) const NONE: Self = Self {
         run: Run(0),
         workers: Vec::new(),
     };
@@ -35,7 +35,7 @@
     }
 
     /// Takes note that a member's run has ended.
-    pub(crate) fn ended(&mut self, member: usize, run: Run) {
+    pub(crate) fn mark_ended(&mut self, member: usize, run: Run) {
         if run == self.run
             && let Some(worker) = self.workers.get_mut(member)
         {
@@ -44,7 +44,7 @@
     }
 
     /// Takes note that a later start has ended.
-    pub(crate) fn forget_before(&mut self, run: Run) {
+    pub(crate) fn clear_if_older(&mut self, run: Run) {
         if run > self.run {
             self.workers.clear();
         }
@@ -55,7 +55,7 @@
 ///
 /// Of a gang that is being ended, the others count too: where one of their workers is lost, a successor has to know
 /// which task may have taken it down.
-pub(crate) fn placed_names<N>(unit: &Unit, name_of: &N) -> Vec<WorkerId>
+pub(crate) fn member_worker_names<N>(unit: &Unit, name_of: &N) -> Vec<WorkerId>
 where
     N: Fn(WorkerKey) -> Option<WorkerId>,
 {
--- a/crates/sched/src/recovery.rs
+++ b/crates/sched/src/recovery.rs
@@ -89,7 +89,7 @@
     pub fn begin_recovery(&mut self, now: Millis) {
         let mut waiting = BTreeSet::new();
         for worker in self.workers.values() {
-            if !worker.answered {
+            if !worker.runs_known {
                 waiting.insert(worker.spec.id.clone());
             }
         }
@@ -104,7 +104,7 @@
                 }
             }
         }
-        self.vms.orders_from = now.plus(self.options.vm_order_pause_ms);
+        self.vms.orders_allowed_from = now.plus(self.options.vm_order_pause_ms);
         let bound_ms = self.options.authority_ms + self.options.lease_bound_ms;
         for worker in self.workers.values_mut() {
             worker.lapse_at = worker.lapse_at.max(now.plus(bound_ms));
--- a/crates/sched/src/repeats.rs
+++ b/crates/sched/src/repeats.rs
@@ -8,7 +8,7 @@
 use crate::StopReason;
 use crate::TaskId;
 use crate::WorkerKey;
-use crate::scatter::seed_of;
+use crate::jitter::jitter_seed;
 use crate::worker::Phase;
 
 impl Scheduler {
@@ -50,7 +50,7 @@
             options.order_retry_ms,
             options.repeat_limit_ms,
             repeats,
-            seed_of(name.0, name.1),
+            jitter_seed(name.0, name.1),
         );
         !of_run.in_flight && now.since(of_run.ordered_at) >= wait_ms
     }
@@ -60,7 +60,7 @@
         let (task, run) = name;
         let worker = &mut self.workers[key];
         let lapsing = worker.contact.lapsing;
-        let is_overfull = worker.is_overfull() || worker.room_doubt.is_some();
+        let is_overcommitted = worker.is_overcommitted() || worker.stale_capacity.is_some();
         let Some(of_run) = worker.runs.get_mut(&name) else {
             return;
         };
@@ -69,7 +69,7 @@
             return;
         }
         // A start would set a lease, and what has no room any more must not be started.
-        if lapsing || is_overfull || of_run.orders >= self.options.start_orders_limit {
+        if lapsing || is_overcommitted || of_run.orders >= self.options.start_orders_limit {
             of_run.begin_stop(now);
             self.order_stop(key, task, run, StopReason::StartInDoubt, now);
             return;
--- a/crates/sched/src/reports.rs
+++ b/crates/sched/src/reports.rs
@@ -19,12 +19,12 @@
 use crate::WorkerReport;
 use crate::WorkerSpec;
 use crate::YoungestRun;
-use crate::blame::Probation;
+use crate::crash_history::Probation;
 use crate::job::UnitState;
 use crate::strays::Told;
 use crate::units::Ending;
+use crate::worker::CpuShare;
 use crate::worker::Phase;
-use crate::worker::Share;
 use crate::worker::UnacknowledgedEnd;
 use crate::worker::Worker;
 use crate::worker::WorkerRun;
@@ -37,10 +37,10 @@
         if let Some(key) = self.worker_keys.get(&spec.id).copied() {
             let worker = &mut self.workers[key];
             let begins_draining = spec.draining && !worker.spec.draining;
-            worker.listed = true;
+            worker.registered = true;
             worker.spec = spec;
-            worker.told_at = now;
-            worker.room_doubt = None;
+            worker.capacity_reported_at = now;
+            worker.stale_capacity = None;
             if begins_draining {
                 self.move_off_draining(key, now);
             }
@@ -50,21 +50,21 @@
         let key = self.workers.insert(Worker::new(spec.clone(), now));
         self.worker_keys.insert(id, key);
         self.actions.push(Action::Attach { worker: key, spec });
-        self.meet_misdirected(now);
+        self.resolve_misdirected(now);
     }
 
     pub(crate) fn worker_unlisted(&mut self, id: &WorkerId, now: Millis) {
         let Some(key) = self.worker_keys.get(id).copied() else {
             return;
         };
-        self.workers[key].listed = false;
+        self.workers[key].registered = false;
         self.detach_if_over(key, now);
     }
 
     /// Lets go of a worker that is registered no more and holds nothing.
     pub(crate) fn detach_if_over(&mut self, key: WorkerKey, now: Millis) {
         let worker = &self.workers[key];
-        if worker.listed {
+        if worker.registered {
             return;
         }
         // Whoever said that it leaves, is registered no more and does not answer, has left.
@@ -111,7 +111,7 @@
         if !self.workers.contains_key(key) {
             return;
         }
-        self.blame_for_crash(key, now);
+        self.record_worker_crash(key, now);
         self.lose_runs(key, "replaced", now);
         self.detach(key);
     }
@@ -131,8 +131,8 @@
     /// Takes everything that ran on a worker as ended, since its leases have surely lapsed.
     pub(crate) fn lapse_runs(&mut self, key: WorkerKey, now: Millis) {
         let worker = &self.workers[key];
-        if worker.silent && !worker.listed && worker.answered {
-            self.blame_for_crash(key, now);
+        if worker.silent && !worker.registered && worker.runs_known {
+            self.record_worker_crash(key, now);
         }
         for (task, run) in self.workers[key].runs.keys() {
             let Some((job, step, unit, _member)) = self.locate(*task) else {
@@ -159,16 +159,16 @@
             worker.contact.probe_soon(now);
             let note = belief(worker, "answers", now);
             self.actions.push(note);
-            self.doubt_room(key, now);
+            self.mark_capacity_stale(key, now);
         }
         let worker = &mut self.workers[key];
-        worker.note_call_answered();
-        if !worker.answered && worker.runs.is_empty() {
+        worker.confirm_acknowledgement();
+        if !worker.runs_known && worker.runs.is_empty() {
             // From its first answer on, it refuses a predecessor's orders.
             let bound = now.plus(self.options.lease_bound_ms);
             worker.lapse_at = worker.lapse_at.min(bound);
         }
-        worker.answered = true;
+        worker.runs_known = true;
         worker.last_answer_at = now;
         let id = worker.spec.id.clone();
         for ended in &report.ended {
@@ -183,7 +183,7 @@
             self.recovery.heard(&id);
         }
         self.pace_fills(key, now);
-        self.judge_slowness(key, now);
+        self.check_slowness(key, now);
     }
 
     /// Takes note that a worker has told of a run of a job.
@@ -239,12 +239,12 @@
         }
         let is_news = of_run.confirmed_at.is_none();
         of_run.confirmed_at.get_or_insert(now);
-        of_run.note_percent(listed.percent, now);
+        of_run.record_progress(listed.percent, now);
         if of_run.checkpoint != listed.checkpoint {
             of_run.checkpoint = listed.checkpoint.clone();
         }
         self.take_load(key, listed);
-        self.watch_probation(key, (listed.task, listed.run), now);
+        self.update_probation(key, (listed.task, listed.run), now);
         if was_in_doubt {
             self.order_taken(key, ordered_at, now);
         }
@@ -253,7 +253,7 @@
         }
         let of_run = &self.workers[key].runs[&(listed.task, listed.run)];
         let stopped_long = now.since(of_run.ordered_at) > self.options.stop_ms * 2;
-        if of_run.phase == Phase::Stopping && of_run.stop_taken_at.is_some() && stopped_long {
+        if of_run.phase == Phase::Stopping && of_run.stop_accepted_at.is_some() && stopped_long {
             self.order_stop(key, listed.task, listed.run, StopReason::Unwanted, now);
         } else if of_run.phase == Phase::Running && !self.is_wanted(listed.task, listed.run, now) {
             self.stop_run(key, listed.task, listed.run, StopReason::Unwanted, now);
@@ -304,9 +304,9 @@
                 continue;
             }
             let known_before = |at: Option<Millis>| at.is_some_and(|at| at < sent_at);
-            if of_run.listed
+            if of_run.reported
                 || known_before(of_run.confirmed_at)
-                || known_before(of_run.stop_taken_at)
+                || known_before(of_run.stop_accepted_at)
             {
                 absent.push(*name);
             }
@@ -325,7 +325,7 @@
             copies: 0,
             in_flight: false,
             confirmed_at: Some(now),
-            listed: true,
+            reported: true,
             resumed: true,
             percent: listed.percent,
             checkpoint: listed.checkpoint.clone(),
@@ -361,12 +361,12 @@
         };
         let priority = spec.map_or(0, |spec| spec.policy.priority);
         let mut run = WorkerRun::starting(step.unwrap_or(&whole), priority, now);
-        if let Share::Fills(fill) = &mut run.share {
+        if let CpuShare::Fills(fill) = &mut run.share {
             fill.forget_pace();
         }
         if let Some((job, step, unit, _member)) = self.locate(task) {
             let unit = &self.jobs[job].steps[step].units[unit];
-            run.probation = Probation::of(unit.worst_blame());
+            run.probation = Probation::of(unit.worst_crash_history());
         }
         run
     }
@@ -375,9 +375,9 @@
     fn take_load(&mut self, key: WorkerKey, listed: &RunningReport) {
         let run = self.workers[key].runs.get_mut(&(listed.task, listed.run));
         match run.map(|run| &mut run.share) {
-            Some(Share::Serves { tail_ms, .. }) => *tail_ms = listed.load,
-            Some(Share::Reserved { used_cpu_millis }) => *used_cpu_millis = listed.load,
-            Some(Share::Fills(_)) | None => {}
+            Some(CpuShare::LatencyBound { tail_ms, .. }) => *tail_ms = listed.load,
+            Some(CpuShare::Reserved { used_cpu_millis }) => *used_cpu_millis = listed.load,
+            Some(CpuShare::Fills(_)) | None => {}
         }
     }
 
--- a/crates/sched/src/scheduler.rs
+++ b/crates/sched/src/scheduler.rs
@@ -33,15 +33,15 @@
 use crate::job::UnitState;
 use crate::keeping::CellClock;
 use crate::keeping::EndStamp;
+use crate::misdirected::MisdirectedRun;
 use crate::pacing::Disturbance;
 use crate::pools::Pools;
 use crate::proof::Proof;
-use crate::rebirth::Misdirected;
 use crate::recovery::Recovery;
-use crate::rooms::Registrations;
+use crate::stale_capacity::RegistrationReads;
 use crate::strays::Stray;
 use crate::upkeep::Upkeep;
-use crate::vms::Vms;
+use crate::vms::VmInventory;
 use crate::worker::Phase;
 use crate::worker::Worker;
 
@@ -69,7 +69,7 @@
     pub(crate) worker_keys: HashMap<WorkerId, WorkerKey>,
     pub(crate) jobs: SlotMap<JobKey, Job>,
     pub(crate) job_keys: HashMap<JobId, JobKey>,
-    pub(crate) registrations: Registrations,
+    pub(crate) registrations: RegistrationReads,
     /// Jobs that have not ended.
     pub(crate) open: BTreeSet<JobKey>,
     /// Jobs whose progress differs from what the store has.
@@ -87,7 +87,7 @@
     /// When workers went silent that are gone, the latest ones.
     pub(crate) silences: VecDeque<Millis>,
     /// Runs that may have reached a life of their worker that is not known yet.
-    pub(crate) misdirected: Vec<Misdirected>,
+    pub(crate) misdirected: Vec<MisdirectedRun>,
     /// Jobs that were added since this scheduler began.
     pub(crate) jobs_added: u64,
     pub(crate) proof: Proof,
@@ -97,7 +97,7 @@
     pub(crate) day: Option<DayAnchor>,
     pub(crate) headroom: Headroom,
     pub(crate) disturbance: Disturbance,
-    pub(crate) vms: Vms,
+    pub(crate) vms: VmInventory,
     pub(crate) upkeep: Upkeep,
     pub(crate) pools: Pools,
     pub(crate) advice_slots: AdviceSlots,
@@ -116,7 +116,7 @@
             options,
             workers: SlotMap::with_key(),
             worker_keys: HashMap::new(),
-            registrations: Registrations::default(),
+            registrations: RegistrationReads::default(),
             jobs: SlotMap::with_key(),
             job_keys: HashMap::new(),
             open: BTreeSet::new(),
@@ -136,7 +136,7 @@
             day: None,
             headroom: Headroom::default(),
             disturbance: Disturbance::default(),
-            vms: Vms::default(),
+            vms: VmInventory::default(),
             upkeep: Upkeep::default(),
             pools: Pools::default(),
             advice_slots: AdviceSlots::UNBOUNDED,
@@ -171,7 +171,7 @@
             Event::Renewing { worker } => self.renewing(worker, now),
             Event::RenewalFailed { worker } => self.renewal_failed(worker, now),
             Event::Replaced { worker } => self.replaced(worker, now),
-            Event::Reborn { worker } => self.reborn(worker, now),
+            Event::Reborn { worker } => self.worker_restarted(worker, now),
             Event::StartAnswered {
                 worker,
                 task,
@@ -198,7 +198,7 @@
             } => self.advised(step, &asked, answer, now),
             Event::WavePublished { wave, age_ms } => self.wave_published(wave, age_ms, now),
             Event::WaveRecorded { wave, change } => self.wave_recorded(wave, change),
-            Event::StandbySet(services) => self.set_standby(services),
+            Event::StandbySet(services) => self.set_standby_pools(services),
             Event::VmsListed { asked_at, vms } => self.vms_listed(asked_at, vms),
             Event::VmOrderAnswered { vm, duty, answer } => match duty {
                 Duty::Upkeep { wave } => self.upkeep_answered(wave, &vm, answer, now),
@@ -323,7 +323,7 @@
             // Of a job that is forgotten, nothing has to be kept.
             u64::MAX
         };
-        worker.acknowledge_ends(recorded);
+        worker.advance_acknowledged(recorded);
         let left = !worker.unacknowledged.is_empty();
         (worker.next_acknowledgement(), left)
     }
--- a/crates/sched/src/slowness.rs
+++ b/crates/sched/src/slowness.rs
@@ -19,39 +19,39 @@
 use crate::units::Place;
 use crate::worker::Phase;
 use crate::worker::WorkerRun;
-use crate::worker::fits;
+use crate::worker::fit_count;
 
 /// A run says something after it has been listed for this long: reports come a little late.
-const LEAST_MS: u64 = 200;
+const MIN_OBSERVATION_MS: u64 = 200;
 
 /// Tasks of the same step elsewhere that a run is compared with, at least.
-const LEAST_OTHERS: usize = 3;
+const MIN_PEERS: usize = 3;
 
 /// Tasks that a run is compared with, at most: they are sorted at each report, and a step may have 10,000.
-const OTHERS_LIMIT: usize = 64;
+const PEERS_LIMIT: usize = 64;
 
 /// A worker counts as slow from this factor on, in the geometric mean over its steps and one more with factor
 /// 1: the fewer steps say so, the more is asked of them.
-const SLOW_FACTOR: f64 = 1.75;
+const MIN_MEAN_FACTOR: f64 = 1.75;
 
 /// Each step has to show at least this factor: a slow worker is slow for all.
-const LEAST_FACTOR: f64 = 1.7;
+const MIN_STEP_FACTOR: f64 = 1.7;
 
 /// A worker that is slow gets nothing new for this long: then a few runs show whether it still is.
-const SLOW_MS: u64 = 4_000;
+const SLOW_QUARANTINE_MS: u64 = 4_000;
 
 /// At most this share of the workers is gone round as slow, in hundredths: where more seem so, it is
 /// something else.
-const SLOW_SHARE: usize = 30;
+const SLOW_WORKERS_PERCENT_LIMIT: usize = 30;
 
 /// What a run that goes elsewhere loses at least, beside the stop: the new start, and what is restored.
-const MOVE_MS: u64 = 700;
+const MOVE_COST_MS: u64 = 700;
 
 /// It moves only where it would end this much sooner, in hundredths of the time elsewhere.
-const MOVE_GAIN: u64 = 120;
+const MIN_MOVE_GAIN_PERCENT: u64 = 120;
 
 /// A task is moved this often at most.
-const MOVES_LIMIT: u32 = 2;
+const MOVES_PER_TASK_LIMIT: u32 = 2;
 
 /// How slow a worker is, as a logarithm, and by how many steps.
 #[derive(Debug, Clone, Copy)]
@@ -63,19 +63,19 @@
 
 /// A run on a slow worker, and the time that it still needs there.
 #[derive(Debug, Clone, Copy)]
-struct Lag {
+struct RunProjection {
     task: TaskId,
     run: Run,
     place: Place,
-    whole_ms: u64,
+    total_ms: u64,
     /// What is left of it, and what of it would be elsewhere, in hundredths.
     left_percent: u64,
     elsewhere_percent: u64,
 }
 
-impl Lag {
+impl RunProjection {
     const fn left_ms(&self) -> u64 {
-        self.whole_ms * self.left_percent / 100
+        self.total_ms * self.left_percent / 100
     }
 }
 
@@ -85,7 +85,8 @@
     let sum: f64 = steps.values().sum();
     let least = steps.iter().min_by(|a, b| a.1.total_cmp(b.1));
     let (step, least) = least?;
-    let is_slow = sum / f64::from(count + 1) >= SLOW_FACTOR.ln() && *least >= LEAST_FACTOR.ln();
+    let is_slow =
+        sum / f64::from(count + 1) >= MIN_MEAN_FACTOR.ln() && *least >= MIN_STEP_FACTOR.ln();
     is_slow.then(|| Slowness {
         log: sum / f64::from(count),
         steps: steps.len(),
@@ -95,12 +96,12 @@
 
 impl Step {
     /// Returns the time that most tasks take, beside those at some positions; none where too few tell.
-    fn usual_ms(&self, beside: &[usize]) -> Option<u64> {
+    fn median_ms(&self, except: &[usize]) -> Option<u64> {
         let units = self.units.iter().enumerate();
-        let elsewhere = units.filter(|(index, _)| !beside.contains(index));
-        let known = elsewhere.filter_map(|(_, unit)| unit.whole_ms);
-        let mut others: Vec<_> = known.take(OTHERS_LIMIT).collect();
-        if others.len() < LEAST_OTHERS {
+        let elsewhere = units.filter(|(index, _)| !except.contains(index));
+        let projected = elsewhere.filter_map(|(_, unit)| unit.whole_ms);
+        let mut others: Vec<_> = projected.take(PEERS_LIMIT).collect();
+        if others.len() < MIN_PEERS {
             return None;
         }
         others.sort_unstable();
@@ -112,11 +113,11 @@
     /// Returns the time that it takes as a whole at the speed seen so far; none while that is not
     /// known, or says nothing of its worker: members of gangs go as slow as the slowest, what lasts
     /// never ends, what fills gets what is left.
-    fn whole_ms(&self, now: Millis) -> Option<u64> {
-        let (from, from_percent) = self.progress_from?;
+    fn total_ms(&self, now: Millis) -> Option<u64> {
+        let (from, from_percent) = self.progress_baseline?;
         let elapsed_ms = now.since(from);
-        let tells = !self.gang && !self.lasts && !self.fills();
-        if self.phase != Phase::Running || !tells || elapsed_ms < LEAST_MS {
+        let is_comparable = !self.gang && !self.long_running && !self.fills();
+        if self.phase != Phase::Running || !is_comparable || elapsed_ms < MIN_OBSERVATION_MS {
             return None;
         }
         // The next percent may be all but done.
@@ -128,15 +129,18 @@
 impl Scheduler {
     /// Judges by its runs whether a worker is slow; if it is, nothing new goes there for a while, and what
     /// is better off elsewhere moves.
-    pub(crate) fn judge_slowness(&mut self, key: WorkerKey, now: Millis) {
-        let lags = self.note_speeds(key, now);
-        let mut steps: BTreeMap<StepId, Vec<Lag>> = BTreeMap::new();
-        for lag in &lags {
-            steps.entry(lag.task.step).or_default().push(*lag);
+    pub(crate) fn check_slowness(&mut self, key: WorkerKey, now: Millis) {
+        let projections = self.update_projections(key, now);
+        let mut steps: BTreeMap<StepId, Vec<RunProjection>> = BTreeMap::new();
+        for projection in &projections {
+            steps
+                .entry(projection.task.step)
+                .or_default()
+                .push(*projection);
         }
         let mut slow = BTreeMap::new();
-        for (step, lags) in steps {
-            if let Some(log) = self.step_slowness(&lags) {
+        for (step, projections) in steps {
+            if let Some(log) = self.step_slowness(&projections) {
                 slow.insert(step, log);
             }
         }
@@ -146,55 +150,61 @@
         if self.too_many_slow(key, now) {
             return;
         }
-        self.go_round(key, slowness, now);
-        self.move_off_slow(key, &lags, now);
+        self.quarantine_slow(key, slowness, now);
+        self.move_off_slow(key, &projections, now);
     }
 
     /// Remembers how long each run of a worker takes, and returns it.
-    fn note_speeds(&mut self, key: WorkerKey, now: Millis) -> Vec<Lag> {
-        let mut lags = Vec::new();
+    fn update_projections(&mut self, key: WorkerKey, now: Millis) -> Vec<RunProjection> {
+        let mut projections = Vec::new();
         for ((task, run), held) in &self.workers[key].runs {
-            let Some(whole_ms) = held.whole_ms(now) else {
+            let Some(total_ms) = held.total_ms(now) else {
                 continue;
             };
             let Some((job, step, unit, _member)) = self.locate(*task) else {
                 continue;
             };
             let left_percent = u64::from(100 - held.percent.min(100));
-            lags.push(Lag {
+            projections.push(RunProjection {
                 task: *task,
                 run: *run,
                 place: Place { job, step, unit },
-                whole_ms,
+                total_ms,
                 left_percent,
                 elsewhere_percent: if held.checkpointed { left_percent } else { 100 },
             });
         }
-        for lag in &lags {
-            self.unit_mut(lag.place).whole_ms = Some(lag.whole_ms);
+        for projection in &projections {
+            self.unit_mut(projection.place).whole_ms = Some(projection.total_ms);
         }
-        lags
+        projections
     }
 
     /// Returns how much longer tasks of a step take on a worker than elsewhere, as a logarithm; the
     /// fastest counts, since a slow worker is slow for all.
-    fn step_slowness(&self, lags: &[Lag]) -> Option<f64> {
-        let place = lags.first()?.place;
+    fn step_slowness(&self, projections: &[RunProjection]) -> Option<f64> {
+        let place = projections.first()?.place;
         let of_step = &self.jobs[place.job].steps[place.step];
         if of_step.spec.data_rack.is_some() {
             // How long a task takes depends on where it is.
             return None;
         }
-        let here: Vec<_> = lags.iter().map(|lag| lag.place.unit).collect();
-        let usual_ms = of_step.usual_ms(&here)?;
-        let fastest_ms = lags.iter().map(|lag| lag.whole_ms).min()?;
-        Some((to_f64(fastest_ms) / to_f64(usual_ms.max(1))).ln())
+        let here: Vec<_> = projections
+            .iter()
+            .map(|projection| projection.place.unit)
+            .collect();
+        let median_ms = of_step.median_ms(&here)?;
+        let fastest_ms = projections
+            .iter()
+            .map(|projection| projection.total_ms)
+            .min()?;
+        Some((to_f64(fastest_ms) / to_f64(median_ms.max(1))).ln())
     }
 
     /// Gives a slow worker nothing new for a while.
-    fn go_round(&mut self, key: WorkerKey, slowness: Slowness, now: Millis) {
+    fn quarantine_slow(&mut self, key: WorkerKey, slowness: Slowness, now: Millis) {
         let worker = &mut self.workers[key];
-        let until = now.plus(SLOW_MS);
+        let until = now.plus(SLOW_QUARANTINE_MS);
         let is_news = worker.slow_until <= now;
         worker.slow_until = until;
         worker.quarantined_until = worker.quarantined_until.max(until);
@@ -214,39 +224,41 @@
     fn too_many_slow(&self, key: WorkerKey, now: Millis) -> bool {
         let others = self.workers.iter().filter(|(other, _)| *other != key);
         let slow = others.filter(|(_, worker)| worker.slow_until > now).count();
-        slow * 100 >= self.workers.len() * SLOW_SHARE
+        slow * 100 >= self.workers.len() * SLOW_WORKERS_PERCENT_LIMIT
     }
 
     /// Stops what would end sooner elsewhere, as far as there is room.
-    fn move_off_slow(&mut self, key: WorkerKey, lags: &[Lag], now: Millis) {
-        for lag in lags {
-            let cost_ms = self.elsewhere_ms(lag) + self.options.stop_ms + MOVE_MS;
-            if lag.left_ms() * 100 > cost_ms * MOVE_GAIN && self.take_move(lag.place, key, now) {
-                self.stop_run(key, lag.task, lag.run, StopReason::Slow, now);
+    fn move_off_slow(&mut self, key: WorkerKey, projections: &[RunProjection], now: Millis) {
+        for projection in projections {
+            let cost_ms = self.elsewhere_ms(projection) + self.options.stop_ms + MOVE_COST_MS;
+            if projection.left_ms() * 100 > cost_ms * MIN_MOVE_GAIN_PERCENT
+                && self.try_take_move(projection.place, key, now)
+            {
+                self.stop_run(key, projection.task, projection.run, StopReason::Slow, now);
             }
         }
     }
 
     /// Returns the time that the rest of a run should take on another worker.
-    fn elsewhere_ms(&self, lag: &Lag) -> u64 {
-        let Place { job, step, unit } = lag.place;
+    fn elsewhere_ms(&self, projection: &RunProjection) -> u64 {
+        let Place { job, step, unit } = projection.place;
         let of_step = &self.jobs[job].steps[step];
-        let usual_ms = of_step.usual_ms(&[unit]);
-        let whole_ms = usual_ms.unwrap_or(of_step.spec.estimate_ms);
-        whole_ms * lag.elsewhere_percent / 100
+        let median_ms = of_step.median_ms(&[unit]);
+        let total_ms = median_ms.unwrap_or(of_step.spec.estimate_ms);
+        total_ms * projection.elsewhere_percent / 100
     }
 
     /// Says whether a task may move once more, and others have room for it.
-    fn take_move(&mut self, place: Place, from: WorkerKey, now: Millis) -> bool {
+    fn try_take_move(&mut self, place: Place, from: WorkerKey, now: Millis) -> bool {
         let Place { job, step, .. } = place;
         let of_step = &self.jobs[job].steps[step];
         let need = of_step.spec.room();
         let label = of_step.spec.required_label.as_ref();
         let eligible = self.eligible(label, &self.jobs[job], now);
         let mut others = eligible.into_iter().filter(|key| *key != from);
-        let has_room = others.any(|key| fits(&self.workers[key].room(), &need, 1) == 1);
+        let has_room = others.any(|key| fit_count(&self.workers[key].available(), &need, 1) == 1);
         let unit = self.unit_mut(place);
-        if !has_room || unit.moves >= MOVES_LIMIT {
+        if !has_room || unit.moves >= MOVES_PER_TASK_LIMIT {
             return false;
         }
         unit.moves += 1;
--- a/crates/sched/src/rooms.rs
+++ b/crates/sched/src/stale_capacity.rs
@@ -17,7 +17,7 @@
 
 /// How far the registrations of workers have been read.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Registrations {
+pub(crate) struct RegistrationReads {
     /// When those were asked for that were read last.
     asked_at: Millis,
     /// Time in which they could be read so far.
@@ -26,15 +26,15 @@
 
 /// A doubt about the room of a worker.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct RoomDoubt {
+pub(crate) struct StaleCapacity {
     since: Millis,
     /// Time in which registrations could be read until the first read that was asked for since.
     read_from_ms: Option<u64>,
 }
 
-impl RoomDoubt {
+impl StaleCapacity {
     /// Takes note of a read that found the worker registered. Says whether the doubt is over.
-    fn ends_with(&mut self, read: Registrations, told_within_ms: u64) -> bool {
+    fn is_refreshed_by(&mut self, read: RegistrationReads, told_within_ms: u64) -> bool {
         if read.asked_at < self.since {
             return false;
         }
@@ -45,13 +45,13 @@
 
 impl Scheduler {
     /// Doubts what a worker has that has just answered again, where it was silent for long.
-    pub(crate) fn doubt_room(&mut self, key: WorkerKey, now: Millis) {
+    pub(crate) fn mark_capacity_stale(&mut self, key: WorkerKey, now: Millis) {
         let limit_ms = self.options.room_told_ms;
         let worker = &mut self.workers[key];
-        if worker.room_doubt.is_some() || !worker.may_have_shrunk(limit_ms, now) {
+        if worker.stale_capacity.is_some() || !worker.capacity_may_be_stale(limit_ms, now) {
             return;
         }
-        worker.room_doubt = Some(RoomDoubt {
+        worker.stale_capacity = Some(StaleCapacity {
             since: now,
             read_from_ms: None,
         });
@@ -69,13 +69,13 @@
         registrations.asked_at = asked_at;
         let told_within_ms = self.options.told_within_ms;
         for worker in self.workers.values_mut() {
-            let Some(doubt) = &mut worker.room_doubt else {
+            let Some(stale) = &mut worker.stale_capacity else {
                 continue;
             };
-            if !worker.listed || !doubt.ends_with(self.registrations, told_within_ms) {
+            if !worker.registered || !stale.is_refreshed_by(self.registrations, told_within_ms) {
                 continue;
             }
-            worker.room_doubt = None;
+            worker.stale_capacity = None;
             let note = belief(worker, "room_known", now);
             self.actions.push(note);
         }
@@ -84,9 +84,9 @@
 
 impl Worker {
     /// Says whether its room may have shrunk in a silence that has just ended without being told.
-    fn may_have_shrunk(&self, limit_ms: u64, now: Millis) -> bool {
+    fn capacity_may_be_stale(&self, limit_ms: u64, now: Millis) -> bool {
         // How old the entry was that a new scheduler found, it does not know.
-        let was_long = !self.answered || now.since(self.last_answer_at) > limit_ms;
-        was_long && now.since(self.told_at) > limit_ms
+        let was_long_silence = !self.runs_known || now.since(self.last_answer_at) > limit_ms;
+        was_long_silence && now.since(self.capacity_reported_at) > limit_ms
     }
 }
--- a/crates/sched/src/suspects.rs
+++ b/crates/sched/src/suspects.rs
@@ -17,8 +17,8 @@
 use crate::StepId;
 use crate::TaskId;
 use crate::WorkerKey;
-use crate::blame::Crash;
-use crate::blame::YOUNG_MS;
+use crate::crash_history::Crash;
+use crate::crash_history::RECENT_RUN_MS;
 use crate::ids::JobKey;
 use crate::job::Announced;
 use crate::job::Step;
@@ -26,29 +26,29 @@
 use crate::units::Place;
 
 /// Of a run that was not isolated, nothing else is blamed only where its worker went silent within this time.
-const SUDDEN_MS: u64 = 100;
+const SUDDEN_SILENCE_MS: u64 = 100;
 
 /// Workers that go silent within this time of each other have done so at one moment.
-const MOMENT_MS: u64 = 500;
+const SIMULTANEOUS_MS: u64 = 500;
 
 /// Others that go silent at one moment with a worker, from which on something else than a task is the likelier cause: a
 /// rack without power, a switch.
-const OTHERS_AT_ONCE: usize = 2;
+const SIMULTANEOUS_OTHERS: usize = 2;
 
 /// Silences of workers that are gone that are remembered: more than go at one moment in a rack.
-const SILENCES_KEPT: usize = 64;
+const SILENCES_LIMIT: usize = 64;
 
 /// Which units of a step may be started now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Turn {
+pub(crate) enum StartableUnits {
     All,
     Only(usize),
     None,
 }
 
-impl Turn {
+impl StartableUnits {
     /// Says whether a unit may be.
-    pub(crate) const fn is_of(self, unit: usize) -> bool {
+    pub(crate) const fn includes(self, unit: usize) -> bool {
         match self {
             Self::All => true,
             Self::Only(only) => only == unit,
@@ -60,21 +60,21 @@
 impl Step {
     /// Clears its tasks in general, once one that was started after they were suspected has not taken its worker
     /// down.
-    fn clear(&mut self, started_at: Millis) {
+    fn clear_suspicion(&mut self, started_at: Millis) {
         self.suspected_at = self.suspected_at.filter(|at| *at > started_at);
     }
 }
 
 impl Scheduler {
     /// Blames what may have taken down a worker that is gone without having said that it leaves.
-    pub(crate) fn blame_for_crash(&mut self, key: WorkerKey, now: Millis) {
+    pub(crate) fn record_worker_crash(&mut self, key: WorkerKey, now: Millis) {
         let worker = &self.workers[key];
-        if worker.spec.draining || worker.emptying {
+        if worker.spec.draining || worker.evacuating {
             return;
         }
         let id = worker.spec.id.clone();
-        if !worker.answered {
-            self.blame_unheard(&id, now);
+        if !worker.runs_known {
+            self.record_unreported_crash(&id, now);
             return;
         }
         let silent_at = if worker.silent {
@@ -82,10 +82,11 @@
         } else {
             now
         };
-        let suspects = worker.suspects(silent_at);
-        let is_one_of_many = self.others_silent_at(key, silent_at) >= OTHERS_AT_ONCE;
+        let suspects = worker.crash_suspects(silent_at);
+        let is_one_of_many =
+            self.count_simultaneous_silences(key, silent_at) >= SIMULTANEOUS_OTHERS;
         self.silences.push_back(silent_at);
-        if self.silences.len() > SILENCES_KEPT {
+        if self.silences.len() > SILENCES_LIMIT {
             self.silences.pop_front();
         }
         let units: BTreeSet<_> = suspects
@@ -95,24 +96,30 @@
         let is_one = units.len() == 1;
         for (task, number) in suspects {
             let run = &self.workers[key].runs[&(task, number)];
-            let is_sudden = run.there_ms(silent_at) <= SUDDEN_MS && !is_one_of_many;
-            let alone = is_one && (run.is_isolated() || is_sudden);
+            let is_sudden = run.confirmed_ms(silent_at) <= SUDDEN_SILENCE_MS && !is_one_of_many;
+            let sole_suspect = is_one && (run.is_isolated() || is_sudden);
             let crash = Crash {
                 worker: id.clone(),
-                alone,
+                sole_suspect,
                 late: !run.is_on_probation(),
-                there_ms: run.there_ms(silent_at),
+                confirmed_ms: run.confirmed_ms(silent_at),
             };
-            self.blame(task, number, crash, now);
+            self.record_task_crash(task, number, crash, now);
         }
     }
 
     /// Counts the other workers that are silent, or are gone, since the same moment.
-    fn others_silent_at(&self, key: WorkerKey, silent_at: Millis) -> usize {
-        let is_then = |at: Millis| at.since(silent_at).max(silent_at.since(at)) <= MOMENT_MS;
-        let gone = self.silences.iter().filter(|at| is_then(**at)).count();
+    fn count_simultaneous_silences(&self, key: WorkerKey, silent_at: Millis) -> usize {
+        let is_simultaneous =
+            |at: Millis| at.since(silent_at).max(silent_at.since(at)) <= SIMULTANEOUS_MS;
+        let gone = self
+            .silences
+            .iter()
+            .filter(|at| is_simultaneous(**at))
+            .count();
         let others = self.workers.iter().filter(|(other, _)| *other != key);
-        let silent = others.filter(|(_, worker)| worker.silent && is_then(worker.silent_since));
+        let silent =
+            others.filter(|(_, worker)| worker.silent && is_simultaneous(worker.silent_since));
         gone + silent.count()
     }
 
@@ -123,7 +130,7 @@
     }
 
     /// Blames what a predecessor had started on a worker that is gone before it told what ran on it.
-    fn blame_unheard(&mut self, worker: &WorkerId, now: Millis) {
+    fn record_unreported_crash(&mut self, worker: &WorkerId, now: Millis) {
         let mut suspects = Vec::new();
         for key in &self.open {
             for (index, step) in self.jobs[*key].steps.iter().enumerate() {
@@ -134,30 +141,30 @@
                     let here = members.filter(|(_, at)| at.as_ref() == Some(worker));
                     let tasks = here.map(|(member, _)| step.task_at(id, unit_index, member));
                     // What is suspected was announced before it was started, and isolated as it would be here.
-                    let alone = unit.is_isolated();
-                    suspects.extend(tasks.map(|task| (task, before.run, alone)));
+                    let sole_suspect = unit.is_isolated();
+                    suspects.extend(tasks.map(|task| (task, before.run, sole_suspect)));
                 }
             }
         }
-        for (task, run, alone) in suspects {
+        for (task, run, sole_suspect) in suspects {
             let crash = Crash {
                 worker: worker.clone(),
-                alone,
+                sole_suspect,
                 late: false,
-                there_ms: 0,
+                confirmed_ms: 0,
             };
-            self.blame(task, run, crash, now);
+            self.record_task_crash(task, run, crash, now);
         }
     }
 
-    fn blame(&mut self, task: TaskId, run: Run, crash: Crash, now: Millis) {
+    fn record_task_crash(&mut self, task: TaskId, run: Run, crash: Crash, now: Millis) {
         let Some((job, step, unit, member)) = self.locate(task) else {
             return;
         };
         let of_job = &self.jobs[job];
         let known = of_job.steps.get(step).map(|step| &step.units[unit].blames);
-        let is_known = known.and_then(|blames| blames.get(&member));
-        if of_job.state.is_terminal() || is_known.is_some_and(|blame| blame.count.run >= run) {
+        let known = known.and_then(|blames| blames.get(&member));
+        if of_job.state.is_terminal() || known.is_some_and(|history| history.count.run >= run) {
             return;
         }
         // Room that was found for the others was found for all of them at once.
@@ -166,30 +173,31 @@
         }
         let of_step = &mut self.jobs[job].steps[step];
         of_step.suspected_at = Some(now);
-        let blame = of_step.units[unit].blames.entry(member).or_default();
-        blame.count.run = run;
-        blame.add(&crash);
+        let history = of_step.units[unit].blames.entry(member).or_default();
+        history.count.run = run;
+        history.add(&crash);
         let note = Note::TaskBlamed {
             task,
             worker: crash.worker,
-            crashes: blame.count.workers,
-            alone: crash.alone,
-            there_ms: crash.there_ms,
+            crashes: history.count.workers,
+            alone: crash.sole_suspect,
+            there_ms: crash.confirmed_ms,
         };
         self.actions.push(Action::Note(note));
         self.changed(job);
     }
 
     /// Takes note that a worker lists a run: what has been there for long enough is no longer suspected.
-    pub(crate) fn watch_probation(&mut self, key: WorkerKey, name: (TaskId, Run), now: Millis) {
+    pub(crate) fn update_probation(&mut self, key: WorkerKey, name: (TaskId, Run), now: Millis) {
         let Some(run) = self.workers[key].runs.get_mut(&name) else {
             return;
         };
-        let there_ms = run.there_ms(now);
+        let confirmed_ms = run.confirmed_ms(now);
         let held_since = run.held_since;
         let probation = &mut run.probation;
-        let ends = !probation.is_over && there_ms >= probation.limit_ms;
-        let is_cleared = probation.crashes > 0 && there_ms >= probation.limit_ms.max(YOUNG_MS);
+        let ends = !probation.is_over && confirmed_ms >= probation.limit_ms;
+        let is_cleared =
+            probation.crashes > 0 && confirmed_ms >= probation.limit_ms.max(RECENT_RUN_MS);
         probation.is_over |= ends;
         if is_cleared {
             probation.crashes = 0;
@@ -198,7 +206,7 @@
             self.clear_step(name.0, held_since);
         }
         if is_cleared {
-            self.forgive(name.0);
+            self.clear_crash_history(name.0);
         }
     }
 
@@ -207,11 +215,11 @@
         if let Some((job, step, _, _)) = self.locate(task)
             && let Some(of_step) = self.jobs[job].steps.get_mut(step)
         {
-            of_step.clear(started_at);
+            of_step.clear_suspicion(started_at);
         }
     }
 
-    fn forgive(&mut self, task: TaskId) {
+    fn clear_crash_history(&mut self, task: TaskId) {
         let Some((job, step, unit, _)) = self.locate(task) else {
             return;
         };
@@ -226,13 +234,13 @@
     ///
     /// While its tasks are suspected, that is one at a time, the one first that most workers have crashed under: all
     /// of them may be alike.
-    pub(crate) fn turn_of(&self, job: JobKey, step: usize) -> Turn {
+    pub(crate) fn startable_units(&self, job: JobKey, step: usize) -> StartableUnits {
         let of_step = &self.jobs[job].steps[step];
         if of_step.suspected_at.is_none() {
-            return Turn::All;
+            return StartableUnits::All;
         }
-        if self.has_probation(job, step) {
-            return Turn::None;
+        if self.has_run_on_probation(job, step) {
+            return StartableUnits::None;
         }
         let units = of_step.units.iter().enumerate();
         let pending = units.filter(|(_, unit)| unit.state == UnitState::Pending);
@@ -240,11 +248,13 @@
             let is_expected = unit.reservation.is_some();
             (is_expected, unit.crashes(), Reverse(*index))
         });
-        first.map_or(Turn::None, |(index, _)| Turn::Only(index))
+        first.map_or(StartableUnits::None, |(index, _)| {
+            StartableUnits::Only(index)
+        })
     }
 
     /// Says whether some run of a step may still take its worker down.
-    fn has_probation(&self, job: JobKey, step: usize) -> bool {
+    fn has_run_on_probation(&self, job: JobKey, step: usize) -> bool {
         let id = self.step_id(job, step);
         let mut workers = self.workers.values();
         workers.any(|worker| {
@@ -254,23 +264,25 @@
     }
 
     /// Keeps room for a task that workers crashed under on the worker that has least to lose.
-    pub(crate) fn start_suspect(&mut self, place: Place, fitting: &[WorkerKey], now: Millis) {
+    pub(crate) fn place_suspect(&mut self, place: Place, fitting: &[WorkerKey], now: Millis) {
         let Place { job, step, unit } = place;
-        let open = fitting.iter().filter(|key| self.workers[**key].takes_in());
-        let least = open.min_by_key(|key| {
+        let open = fitting
+            .iter()
+            .filter(|key| self.workers[**key].may_take_start());
+        let least_loaded = open.min_by_key(|key| {
             let worker = &self.workers[**key];
-            (worker.has_probation(), worker.runs.len())
+            (worker.has_run_on_probation(), worker.runs.len())
         });
-        let Some(worker) = least.copied() else {
+        let Some(worker) = least_loaded.copied() else {
             return;
         };
         self.reserve(job, step, unit, vec![(worker, 1)], now);
-        self.serve_reserved_task(job, step, unit, now);
+        self.place_reserved_task(job, step, unit, now);
     }
 
     /// Says whether a unit may be started where room is kept for it: of one that is suspected, the store has to know
     /// where. So a successor knows what to blame if a worker crashes under it while nobody is the scheduler.
-    pub(crate) fn is_announced(&mut self, place: Place) -> bool {
+    pub(crate) fn ensure_announced(&mut self, place: Place) -> bool {
         let Place { job, step, unit } = place;
         let of_unit = &self.jobs[job].steps[step].units[unit];
         if of_unit.crashes() == 0 {
@@ -288,7 +300,7 @@
     }
 
     /// Takes back what was announced of a unit: it is not started there.
-    pub(crate) fn take_back_announced(&mut self, place: Place) {
+    pub(crate) fn retract_announcement(&mut self, place: Place) {
         let of_unit = self.unit_mut(place);
         let Some(announced) = of_unit.announced.take() else {
             return;
--- a/crates/sched/src/units.rs
+++ b/crates/sched/src/units.rs
@@ -76,8 +76,8 @@
         let worker = &mut self.workers[key];
         let held = worker.remove(task, run);
         match ending.end {
-            Some(RunEnd::Done) => worker.failures_in_row = 0,
-            Some(RunEnd::Failed) => worker.failures_in_row += 1,
+            Some(RunEnd::Done) => worker.consecutive_failures = 0,
+            Some(RunEnd::Failed) => worker.consecutive_failures += 1,
             _ => {}
         }
         let worker_id = worker.spec.id.clone();
@@ -122,7 +122,7 @@
         let outcome = if lasts { Outcome::Interrupted } else { outcome };
         let step = &mut job.steps[step_index];
         let unit = &mut step.units[unit_index];
-        unit.placed_before.ended(member, run);
+        unit.placed_before.mark_ended(member, run);
         let is_closing =
             matches!(unit.state, UnitState::Closing { run: closing, .. } if closing == run);
         if job.state.is_terminal() {
@@ -272,7 +272,7 @@
         let unit = self.unit_mut(place);
         unit.accounted = unit.accounted.max(run);
         unit.started = unit.started.max(run);
-        unit.placed_before.forget_before(run);
+        unit.placed_before.clear_if_older(run);
         if outcome == Outcome::Failed && run > unit.failed {
             unit.failed = run;
             unit.failures += 1;
@@ -283,7 +283,7 @@
     pub(crate) fn fail_if_spent(&mut self, place: Place, now: Millis) -> bool {
         let limit = self.jobs[place.job].spec.policy.attempts_limit.max(1);
         let unit = self.unit_mut(place);
-        let is_guilty = unit.is_proved_guilty();
+        let is_guilty = unit.exceeds_crash_limit();
         let crashes = unit.crashes();
         let spent = unit.failures >= limit || is_guilty;
         if is_guilty {
--- a/crates/sched/src/upkeep.rs
+++ b/crates/sched/src/upkeep.rs
@@ -218,8 +218,8 @@
         if self.upkeep.open.is_empty() || !self.recovery.is_settled() {
             return;
         }
-        self.ask_for_vms(now);
-        if !self.vms.may_order(now) {
+        self.request_vm_list(now);
+        if !self.vms.can_order(now) {
             return;
         }
         let mut waves = std::mem::take(&mut self.upkeep.open);
@@ -293,7 +293,7 @@
         let Some(worker) = self.worker_on(vm) else {
             return true;
         };
-        let is_empty = self.empty_worker(worker, now);
+        let is_empty = self.evacuate_worker(worker, now);
         is_empty || (now >= until && self.may_end_rest(worker))
     }
 
@@ -387,7 +387,7 @@
         }
         open.changes += 1;
         if answer == DutyAnswer::Unfit {
-            self.keep_worker(vm);
+            self.cancel_evacuation(vm);
         }
     }
 }
--- a/crates/sched/src/usable.rs
+++ b/crates/sched/src/usable.rs
@@ -9,7 +9,7 @@
 
 /// Why a worker gets nothing new.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Hindrance {
+pub enum UnusableReason {
     /// It is not registered.
     Unlisted,
     /// It has not told yet what runs on it.
@@ -28,7 +28,7 @@
     KeptClear,
 }
 
-impl Hindrance {
+impl UnusableReason {
     /// Returns its name in logs.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
@@ -47,26 +47,26 @@
 
 /// Workers that get nothing new, by the reason.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Hindered(BTreeMap<Hindrance, usize>);
+pub struct UnusableWorkers(BTreeMap<UnusableReason, usize>);
 
-impl Hindered {
+impl UnusableWorkers {
     /// Counts one more.
-    pub(crate) fn add(&mut self, hindrance: Hindrance) {
-        *self.0.entry(hindrance).or_default() += 1;
+    pub(crate) fn add(&mut self, unusable_reason: UnusableReason) {
+        *self.0.entry(unusable_reason).or_default() += 1;
     }
 
     /// Counts those that get nothing new for a reason.
     #[must_use]
-    pub fn count(&self, hindrance: Hindrance) -> usize {
-        self.0.get(&hindrance).copied().unwrap_or(0)
+    pub fn count(&self, unusable_reason: UnusableReason) -> usize {
+        self.0.get(&unusable_reason).copied().unwrap_or(0)
     }
 }
 
-impl fmt::Display for Hindered {
+impl fmt::Display for UnusableWorkers {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (index, (hindrance, count)) in self.0.iter().enumerate() {
+        for (index, (unusable_reason, count)) in self.0.iter().enumerate() {
             let separator = if index > 0 { "," } else { "" };
-            write!(f, "{separator}{}={count}", hindrance.as_str())?;
+            write!(f, "{separator}{}={count}", unusable_reason.as_str())?;
         }
         Ok(())
     }
@@ -74,30 +74,33 @@
 
 impl Worker {
     /// Says whether it may get new work.
-    pub(crate) fn usable(&self, now: Millis) -> bool {
-        self.is_sound(now) && !self.is_kept_clear()
+    pub(crate) fn is_usable(&self, now: Millis) -> bool {
+        self.is_usable_for_isolation(now) && !self.is_kept_clear()
     }
 
     /// Says whether it may get what it is kept clear for.
-    pub(crate) fn is_sound(&self, now: Millis) -> bool {
-        self.fault(now).is_none()
+    pub(crate) fn is_usable_for_isolation(&self, now: Millis) -> bool {
+        self.unusable_reason_except_isolation(now).is_none()
     }
 
     /// Returns why it gets nothing new, if so.
-    pub(crate) fn hindrance(&self, now: Millis) -> Option<Hindrance> {
-        let kept_clear = self.is_kept_clear().then_some(Hindrance::KeptClear);
-        self.fault(now).or(kept_clear)
+    pub(crate) fn unusable_reason(&self, now: Millis) -> Option<UnusableReason> {
+        let kept_clear = self.is_kept_clear().then_some(UnusableReason::KeptClear);
+        self.unusable_reason_except_isolation(now).or(kept_clear)
     }
 
-    fn fault(&self, now: Millis) -> Option<Hindrance> {
+    fn unusable_reason_except_isolation(&self, now: Millis) -> Option<UnusableReason> {
         let reasons = [
-            (!self.listed, Hindrance::Unlisted),
-            (!self.answered, Hindrance::Unheard),
-            (self.silent, Hindrance::Silent),
-            (self.room_doubt.is_some(), Hindrance::RoomInDoubt),
-            (!self.contact.is_open(), Hindrance::TakesNoOrders),
-            (self.spec.draining || self.emptying, Hindrance::Leaving),
-            (self.quarantined_until > now, Hindrance::Quarantined),
+            (!self.registered, UnusableReason::Unlisted),
+            (!self.runs_known, UnusableReason::Unheard),
+            (self.silent, UnusableReason::Silent),
+            (self.stale_capacity.is_some(), UnusableReason::RoomInDoubt),
+            (!self.contact.is_open(), UnusableReason::TakesNoOrders),
+            (
+                self.spec.draining || self.evacuating,
+                UnusableReason::Leaving,
+            ),
+            (self.quarantined_until > now, UnusableReason::Quarantined),
         ];
         let mut reasons = reasons.into_iter();
         reasons.find_map(|(holds, reason)| holds.then_some(reason))
--- a/crates/sched/src/vms.rs
+++ b/crates/sched/src/vms.rs
@@ -15,7 +15,7 @@
 use crate::worker::Phase;
 
 /// While something is to be done with VMs, they are listed this often.
-const LIST_MS: u64 = 500;
+const LIST_INTERVAL_MS: u64 = 500;
 
 /// A list that was asked for and did not come is asked for again after this time; one that is older says
 /// nothing any more.
@@ -23,21 +23,21 @@
 
 /// What is known of the VMs.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Vms {
+pub(crate) struct VmInventory {
     pub(crate) known: BTreeMap<VmId, VmInfo>,
     /// When the latest list was asked for that has come.
     pub(crate) listed_at: Option<Millis>,
     asked_at: Option<Millis>,
     /// No orders about VMs before this time: a predecessor's must be old by then.
-    pub(crate) orders_from: Millis,
+    pub(crate) orders_allowed_from: Millis,
 }
 
-impl Vms {
+impl VmInventory {
     /// Says whether the list is young enough to act on, and no predecessor's orders are.
-    pub(crate) fn may_order(&self, now: Millis) -> bool {
+    pub(crate) fn can_order(&self, now: Millis) -> bool {
         let listed_at = self.listed_at;
-        let is_young = listed_at.is_some_and(|at| now.since(at) < LIST_TIMEOUT_MS);
-        is_young && now >= self.orders_from
+        let is_fresh = listed_at.is_some_and(|at| now.since(at) < LIST_TIMEOUT_MS);
+        is_fresh && now >= self.orders_allowed_from
     }
 
     /// Returns what a VM is doing, where the platform listed it since a time.
@@ -49,12 +49,14 @@
 
 impl Scheduler {
     /// Asks for the list of VMs if the last one is old.
-    pub(crate) fn ask_for_vms(&mut self, now: Millis) {
+    pub(crate) fn request_vm_list(&mut self, now: Millis) {
         let vms = &mut self.vms;
         let waits = vms
             .asked_at
             .is_some_and(|at| now.since(at) < LIST_TIMEOUT_MS);
-        let fresh = vms.listed_at.is_some_and(|at| now.since(at) < LIST_MS);
+        let fresh = vms
+            .listed_at
+            .is_some_and(|at| now.since(at) < LIST_INTERVAL_MS);
         if waits || fresh {
             return;
         }
@@ -83,14 +85,14 @@
     pub(crate) fn worker_on(&self, vm: &VmId) -> Option<WorkerKey> {
         let mut workers = self.workers.iter();
         let found =
-            workers.find(|(_, worker)| worker.listed && worker.spec.vm.as_ref() == Some(vm));
+            workers.find(|(_, worker)| worker.registered && worker.spec.vm.as_ref() == Some(vm));
         found.map(|(key, _)| key)
     }
 
     /// Moves the work off a worker: what is saved goes on elsewhere, what lasts is started elsewhere as
     /// far as its users can bear it, the rest may end. Says whether nothing is left.
-    pub(crate) fn empty_worker(&mut self, key: WorkerKey, now: Millis) -> bool {
-        self.workers[key].emptying = true;
+    pub(crate) fn evacuate_worker(&mut self, key: WorkerKey, now: Millis) -> bool {
+        self.workers[key].evacuating = true;
         let mut saved = Vec::new();
         let mut lasting = Vec::new();
         for ((task, run), of_run) in &self.workers[key].runs {
@@ -99,7 +101,7 @@
             }
             if of_run.checkpointed {
                 saved.push((*task, *run));
-            } else if of_run.lasts {
+            } else if of_run.long_running {
                 lasting.push((*task, *run));
             }
         }
@@ -120,23 +122,23 @@
         for (task, _) in self.workers[key].runs.keys() {
             *steps.entry(task.step).or_default() += 1;
         }
-        self.may_interrupt_bounded(steps)
+        self.may_interrupt_all(steps)
     }
 
     /// Says whether all that serves on a worker may be missing for a while.
     pub(crate) fn may_end_serving(&self, key: WorkerKey) -> bool {
         let mut steps: BTreeMap<_, u32> = BTreeMap::new();
         for ((task, _), run) in &self.workers[key].runs {
-            if run.is_at_work() {
+            if run.is_in_service() {
                 *steps.entry(task.step).or_default() += 1;
             }
         }
-        self.may_interrupt_bounded(steps)
+        self.may_interrupt_all(steps)
     }
 
     /// Says whether so many tasks of each of these steps may be taken out of service now, where their number has
     /// a bound.
-    fn may_interrupt_bounded(&self, steps: BTreeMap<StepId, u32>) -> bool {
+    fn may_interrupt_all(&self, steps: BTreeMap<StepId, u32>) -> bool {
         let is_bounded = |step| {
             let spec = self.step_spec(step);
             spec.is_some_and(|spec| spec.unavailable_limit.is_some())
@@ -147,9 +149,9 @@
     }
 
     /// Lets a worker have work again.
-    pub(crate) fn keep_worker(&mut self, vm: &VmId) {
+    pub(crate) fn cancel_evacuation(&mut self, vm: &VmId) {
         if let Some(key) = self.worker_on(vm) {
-            self.workers[key].emptying = false;
+            self.workers[key].evacuating = false;
         }
     }
 
@@ -166,7 +168,7 @@
         let Some(spec) = self.step_spec(step) else {
             return true;
         };
-        let mut at_work = 0;
+        let mut in_service = 0;
         for worker in self.workers.values() {
             // What a silent one told last may be as old as its lease, and nobody is served there meanwhile; what
             // runs on one whose lease is let lapse ends.
@@ -174,10 +176,10 @@
                 continue;
             }
             let runs = worker.runs_of(step);
-            let serving = runs.filter(|(_, run)| run.is_at_work());
-            at_work += u32::try_from(serving.count()).unwrap_or(u32::MAX);
+            let serving = runs.filter(|(_, run)| run.is_in_service());
+            in_service += u32::try_from(serving.count()).unwrap_or(u32::MAX);
         }
-        let away = spec.tasks.saturating_sub(at_work);
+        let away = spec.tasks.saturating_sub(in_service);
         let limit = spec.unavailable_limit.unwrap_or(1);
         away.saturating_add(count) <= limit
     }
--- a/crates/sched/src/waiting.rs
+++ b/crates/sched/src/waiting.rs
@@ -4,10 +4,10 @@
 use syc_types::ServiceName;
 
 use crate::Action;
-use crate::Hindered;
 use crate::Note;
 use crate::Scheduler;
 use crate::StepId;
+use crate::UnusableWorkers;
 use crate::ids::JobKey;
 
 /// A step waits this long before the log tells for what, and again after twice as long each time.
@@ -100,14 +100,14 @@
     }
 
     /// Counts the workers of a service that get nothing new, by the reason.
-    fn hindered(&self, service: &ServiceName, now: Millis) -> Hindered {
-        let mut hindered = Hindered::default();
+    fn hindered(&self, service: &ServiceName, now: Millis) -> UnusableWorkers {
+        let mut hindered = UnusableWorkers::default();
         for worker in self.workers.values() {
             if worker.spec.service != *service {
                 continue;
             }
-            if let Some(hindrance) = worker.hindrance(now) {
-                hindered.add(hindrance);
+            if let Some(reason) = worker.unusable_reason(now) {
+                hindered.add(reason);
             }
         }
         hindered
--- a/crates/sched/src/watch.rs
+++ b/crates/sched/src/watch.rs
@@ -16,8 +16,8 @@
     pub(crate) fn watch(&mut self, now: Millis) {
         self.recover(now);
         self.give_up_strays(now);
-        self.give_up_misdirected(now);
-        self.watch_headroom();
+        self.expire_misdirected(now);
+        self.update_headroom_level();
         let mut keys: Vec<_> = self.workers.keys().collect();
         // Whoever comes first may use up what the cell has for repeats.
         let turn = usize::try_from(now.0).unwrap_or(0) % keys.len().max(1);
@@ -30,7 +30,7 @@
         }
         self.give_up_advice(now);
         self.watch_waves(now);
-        self.watch_pools(now);
+        self.balance_pools(now);
         self.forget_old(now);
     }
 
@@ -91,10 +91,10 @@
     /// Quarantines a worker that fails all that it starts.
     pub(crate) fn quarantine_if_failing(&mut self, key: WorkerKey, now: Millis) {
         let worker = &self.workers[key];
-        if worker.failures_in_row < self.options.failures_in_row_limit {
+        if worker.consecutive_failures < self.options.failures_in_row_limit {
             return;
         }
-        self.workers[key].failures_in_row = 0;
+        self.workers[key].consecutive_failures = 0;
         self.quarantine(key, "fails", now);
     }
 
--- a/crates/sched/src/worker.rs
+++ b/crates/sched/src/worker.rs
@@ -16,12 +16,12 @@
 use crate::TaskId;
 use crate::WorkerNote;
 use crate::WorkerSpec;
-use crate::blame::Blame;
-use crate::blame::Probation;
 use crate::contact::Contact;
+use crate::crash_history::CrashHistory;
+use crate::crash_history::Probation;
 use crate::pacing::Fill;
 use crate::pacing::PaceControl;
-use crate::rooms::RoomDoubt;
+use crate::stale_capacity::StaleCapacity;
 
 /// How far a run is on a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -58,13 +58,13 @@
     /// When the worker first said that it runs.
     pub(crate) confirmed_at: Option<Millis>,
     /// Whether some report listed it.
-    pub(crate) listed: bool,
+    pub(crate) reported: bool,
     /// When the worker took the stop order.
-    pub(crate) stop_taken_at: Option<Millis>,
+    pub(crate) stop_accepted_at: Option<Millis>,
     pub(crate) percent: u8,
     pub(crate) percent_at: Millis,
     /// When it was first listed, or had been restored, and how far it was.
-    pub(crate) progress_from: Option<(Millis, u8)>,
+    pub(crate) progress_baseline: Option<(Millis, u8)>,
     /// Whether it went on from a checkpoint, or may have.
     pub(crate) resumed: bool,
     pub(crate) checkpoint: SmolStr,
@@ -75,29 +75,29 @@
     /// Whether other runs end with it.
     pub(crate) gang: bool,
     /// Whether it runs until its job is cancelled.
-    pub(crate) lasts: bool,
-    pub(crate) share: Share,
+    pub(crate) long_running: bool,
+    pub(crate) share: CpuShare,
     pub(crate) probation: Probation,
 }
 
 /// What part of a worker a run gets, beside its room.
 #[derive(Debug, Clone)]
-pub(crate) enum Share {
+pub(crate) enum CpuShare {
     /// What it asked for. The processor time that it uses, in thousandths of a core, as reported last.
     Reserved { used_cpu_millis: Option<u64> },
     /// What it asked for. The tail of its response times, as reported last, must stay below the limit.
-    Serves { limit_ms: u64, tail_ms: Option<u64> },
+    LatencyBound { limit_ms: u64, tail_ms: Option<u64> },
     /// What the others leave unused.
     Fills(Fill),
 }
 
-impl Share {
+impl CpuShare {
     fn of_step(spec: &StepSpec) -> Self {
         if spec.fills {
             return Self::Fills(Fill::started(spec.resources.cpu_millis));
         }
         match spec.tail_limit_ms {
-            Some(limit_ms) => Self::Serves {
+            Some(limit_ms) => Self::LatencyBound {
                 limit_ms,
                 tail_ms: None,
             },
@@ -121,47 +121,47 @@
             in_flight: true,
             doubt_since: now,
             confirmed_at: None,
-            listed: false,
-            stop_taken_at: None,
+            reported: false,
+            stop_accepted_at: None,
             percent: 0,
             percent_at: now,
-            progress_from: None,
+            progress_baseline: None,
             resumed: false,
             checkpoint: SmolStr::default(),
             ticket: SmolStr::default(),
             priority,
             checkpointed: spec.checkpointed && !spec.long_running,
             gang: spec.gang,
-            lasts: spec.long_running,
-            share: Share::of_step(spec),
-            probation: Probation::of(Blame::default()),
+            long_running: spec.long_running,
+            share: CpuShare::of_step(spec),
+            probation: Probation::of(CrashHistory::default()),
         }
     }
 
     /// Says whether it serves users of its own, whose response times have a limit.
-    pub(crate) const fn serves(&self) -> bool {
-        matches!(self.share, Share::Serves { .. })
+    pub(crate) const fn is_latency_bound(&self) -> bool {
+        matches!(self.share, CpuShare::LatencyBound { .. })
     }
 
     /// Says whether it runs until its job is cancelled, and is at work.
-    pub(crate) fn is_at_work(&self) -> bool {
-        self.lasts && self.phase == Phase::Running && self.percent >= 100
+    pub(crate) fn is_in_service(&self) -> bool {
+        self.long_running && self.phase == Phase::Running && self.percent >= 100
     }
 
     /// Says whether it gets what others leave unused.
     pub(crate) const fn fills(&self) -> bool {
-        matches!(self.share, Share::Fills(_))
+        matches!(self.share, CpuShare::Fills(_))
     }
 
     /// Takes note that it is listed, and how far it is.
-    pub(crate) fn note_percent(&mut self, percent: u8, now: Millis) {
-        let is_first = !self.listed;
+    pub(crate) fn record_progress(&mut self, percent: u8, now: Millis) {
+        let is_first = !self.reported;
         let moved = self.percent != percent;
-        self.listed = true;
+        self.reported = true;
         // What is restored first makes no progress: it counts from its first step on.
         let counts = !self.resumed || (moved && !is_first);
-        if self.progress_from.is_none() && counts {
-            self.progress_from = Some((now, percent));
+        if self.progress_baseline.is_none() && counts {
+            self.progress_baseline = Some((now, percent));
         }
         if moved {
             self.percent = percent;
@@ -174,15 +174,15 @@
         let is_open = match self.phase {
             Phase::Starting => true,
             Phase::Running => false,
-            Phase::Stopping => self.stop_taken_at.is_none(),
+            Phase::Stopping => self.stop_accepted_at.is_none(),
         };
         is_open.then_some(self.doubt_since)
     }
 
     /// Counts the orders since the doubt about it began.
-    pub(crate) const fn doubtful_orders(&self) -> u32 {
-        let starts_too = matches!(self.phase, Phase::Stopping) && self.confirmed_at.is_none();
-        let starts = if starts_too { self.copies } else { 0 };
+    pub(crate) const fn orders_in_doubt(&self) -> u32 {
+        let includes_starts = matches!(self.phase, Phase::Stopping) && self.confirmed_at.is_none();
+        let starts = if includes_starts { self.copies } else { 0 };
         self.orders.saturating_add(starts)
     }
 
@@ -201,11 +201,11 @@
     /// Returns the processor time that it takes from others, in thousandths of a core.
     fn used_cpu_millis(&self) -> u64 {
         match &self.share {
-            Share::Reserved { used_cpu_millis } => {
+            CpuShare::Reserved { used_cpu_millis } => {
                 used_cpu_millis.unwrap_or(self.resources.cpu_millis)
             }
-            Share::Serves { .. } => self.resources.cpu_millis,
-            Share::Fills(fill) => fill.wanted_cpu_millis,
+            CpuShare::LatencyBound { .. } => self.resources.cpu_millis,
+            CpuShare::Fills(fill) => fill.wanted_cpu_millis,
         }
     }
 }
@@ -228,16 +228,16 @@
 pub(crate) struct Worker {
     pub(crate) spec: WorkerSpec,
     /// Whether it is registered.
-    pub(crate) listed: bool,
+    pub(crate) registered: bool,
     /// Whether it has told what runs on it.
-    pub(crate) answered: bool,
+    pub(crate) runs_known: bool,
     /// Whether its latest renewal went without an answer.
     pub(crate) silent: bool,
     pub(crate) last_answer_at: Millis,
     /// When it last told what it has.
-    pub(crate) told_at: Millis,
+    pub(crate) capacity_reported_at: Millis,
     /// The doubt whether it has less than it told last, as it was silent for long before.
-    pub(crate) room_doubt: Option<RoomDoubt>,
+    pub(crate) stale_capacity: Option<StaleCapacity>,
     /// When its latest silence began to show.
     pub(crate) silent_since: Millis,
     /// When the last of its leases has surely lapsed.
@@ -250,10 +250,10 @@
     pub(crate) unacknowledged: VecDeque<UnacknowledgedEnd>,
     /// Number of the latest end that may be forgotten, as told last, and as told in a call that was answered.
     pub(crate) acknowledged: u64,
-    acknowledged_in_call: u64,
-    acknowledged_surely: u64,
+    acknowledgement_in_flight: u64,
+    acknowledgement_delivered: u64,
     /// Failed ends since the last good one.
-    pub(crate) failures_in_row: u32,
+    pub(crate) consecutive_failures: u32,
     /// It gets nothing new before this time.
     pub(crate) quarantined_until: Millis,
     /// Times that it was quarantined lately.
@@ -261,13 +261,13 @@
     /// It counts as slow until then.
     pub(crate) slow_until: Millis,
     /// Suspected tasks that room is kept for.
-    pub(crate) suspects: u32,
+    pub(crate) reserved_suspects: u32,
     /// Those of them for which it is to take nothing else.
-    pub(crate) isolations: u32,
+    pub(crate) reserved_isolations: u32,
     /// Runs there whose tasks were suspected when they began.
     pub(crate) suspected_runs: u32,
     /// Whether its work moves off, since its VM is about to be taken.
-    pub(crate) emptying: bool,
+    pub(crate) evacuating: bool,
     /// How fast the runs may go that fill what is left over.
     pub(crate) pace: PaceControl,
     pub(crate) contact: Contact,
@@ -277,12 +277,12 @@
     pub(crate) const fn new(spec: WorkerSpec, now: Millis) -> Self {
         Self {
             spec,
-            listed: true,
-            answered: false,
+            registered: true,
+            runs_known: false,
             silent: false,
             last_answer_at: now,
-            told_at: Millis(0),
-            room_doubt: None,
+            capacity_reported_at: Millis(0),
+            stale_capacity: None,
             silent_since: now,
             lapse_at: now,
             runs: BTreeMap::new(),
@@ -291,16 +291,16 @@
             handled_end: 0,
             unacknowledged: VecDeque::new(),
             acknowledged: 0,
-            acknowledged_in_call: 0,
-            acknowledged_surely: 0,
-            failures_in_row: 0,
+            acknowledgement_in_flight: 0,
+            acknowledgement_delivered: 0,
+            consecutive_failures: 0,
             quarantined_until: Millis(0),
             quarantines: 0,
             slow_until: Millis(0),
-            suspects: 0,
-            isolations: 0,
+            reserved_suspects: 0,
+            reserved_isolations: 0,
             suspected_runs: 0,
-            emptying: false,
+            evacuating: false,
             pace: PaceControl::new(),
             contact: Contact::new(),
         }
@@ -313,7 +313,7 @@
     }
 
     /// Says whether it may be sent another start before it has answered those under way.
-    pub(crate) fn takes_in(&self) -> bool {
+    pub(crate) fn may_take_start(&self) -> bool {
         let starting = self
             .runs
             .values()
@@ -323,13 +323,13 @@
     }
 
     /// Returns what no run holds and no reservation claims.
-    pub(crate) fn room(&self) -> Resources {
-        self.room_without(&Resources::ZERO)
+    pub(crate) fn available(&self) -> Resources {
+        self.available_without(&Resources::ZERO)
     }
 
     /// Returns what no run would hold and no reservation claim, were so much of it freed: of a worker whose room shrank
     /// under its runs, some of that was never there.
-    pub(crate) fn room_without(&self, freed: &Resources) -> Resources {
+    pub(crate) fn available_without(&self, freed: &Resources) -> Resources {
         let taken = self.used.saturating_add(&self.reserved);
         let taken = taken.saturating_sub(freed);
         self.spec.capacity.saturating_sub(&taken)
@@ -341,33 +341,36 @@
     }
 
     /// Says whether its runs take more than it has: its room shrank under them.
-    pub(crate) fn is_overfull(&self) -> bool {
+    pub(crate) fn is_overcommitted(&self) -> bool {
         !self.used.fits_in(&self.spec.capacity)
     }
 
     /// Returns the processor time that no run uses or waits for, in thousandths of a core.
-    pub(crate) fn unused_cpu_millis(&self) -> u64 {
+    pub(crate) fn idle_cpu_millis(&self) -> u64 {
         let used = self.runs.values().map(WorkerRun::used_cpu_millis);
         self.spec.capacity.cpu_millis.saturating_sub(used.sum())
     }
 
     /// Counts the runs that serve users of their own.
-    pub(crate) fn serving(&self) -> usize {
-        self.runs.values().filter(|run| run.serves()).count()
+    pub(crate) fn latency_bound_runs(&self) -> usize {
+        self.runs
+            .values()
+            .filter(|run| run.is_latency_bound())
+            .count()
     }
 
     /// Adds a run; its room is taken from now on.
     pub(crate) fn insert(&mut self, task: TaskId, run: Run, held: WorkerRun) {
         self.remove(task, run);
         self.used = self.used.saturating_add(&held.resources);
-        self.suspected_runs += u32::from(held.probation.is_of_suspect);
+        self.suspected_runs += u32::from(held.probation.began_suspected);
         self.runs.insert((task, run), held);
     }
 
     /// Removes a run and frees its room.
     pub(crate) fn remove(&mut self, task: TaskId, run: Run) -> Option<WorkerRun> {
         let removed = self.runs.remove(&(task, run))?;
-        self.suspected_runs -= u32::from(removed.probation.is_of_suspect);
+        self.suspected_runs -= u32::from(removed.probation.began_suspected);
         self.used = self.used.saturating_sub(&removed.resources);
         Some(removed)
     }
@@ -377,23 +380,23 @@
     /// A later life of a worker counts its ends anew, and would forget its own. So nothing is told twice, nor to one
     /// that has not answered the last call.
     pub(crate) const fn next_acknowledgement(&mut self) -> u64 {
-        if self.silent || self.acknowledged <= self.acknowledged_surely {
-            self.acknowledged_in_call = 0;
+        if self.silent || self.acknowledged <= self.acknowledgement_delivered {
+            self.acknowledgement_in_flight = 0;
             return 0;
         }
-        self.acknowledged_in_call = self.acknowledged;
+        self.acknowledgement_in_flight = self.acknowledged;
         self.acknowledged
     }
 
     /// Takes note that the latest call was answered.
-    pub(crate) const fn note_call_answered(&mut self) {
-        if self.acknowledged_in_call > self.acknowledged_surely {
-            self.acknowledged_surely = self.acknowledged_in_call;
+    pub(crate) const fn confirm_acknowledgement(&mut self) {
+        if self.acknowledgement_in_flight > self.acknowledgement_delivered {
+            self.acknowledgement_delivered = self.acknowledgement_in_flight;
         }
     }
 
     /// Finds out up to which end the worker may forget.
-    pub(crate) fn acknowledge_ends<F>(&mut self, recorded: F)
+    pub(crate) fn advance_acknowledged<F>(&mut self, recorded: F)
     where
         F: Fn(JobId) -> u64,
     {
@@ -417,7 +420,7 @@
     }
 
     /// Counts the runs of a step on it.
-    pub(crate) fn tasks_of(&self, step: StepId) -> u32 {
+    pub(crate) fn count_runs_of(&self, step: StepId) -> u32 {
         u32::try_from(self.runs_of(step).count()).unwrap_or(u32::MAX)
     }
 
@@ -431,7 +434,7 @@
 }
 
 /// Returns how many times `need` fits in `room`, at most `limit`.
-pub(crate) fn fits(room: &Resources, need: &Resources, limit: u32) -> u32 {
+pub(crate) fn fit_count(room: &Resources, need: &Resources, limit: u32) -> u32 {
     let mut count = limit;
     let pairs = [
         (room.cpu_millis, need.cpu_millis),
--- a/crates/sched/tests/core/crashes.rs
+++ b/crates/sched/tests/core/crashes.rs
@@ -17,13 +17,13 @@
 /// Long enough for a run that is listed after it not to be suspected of what happens to its worker.
 const PROBATION_MS: u64 = 600;
 
-fn list(driver: &mut Driver, runs: &[&StartOrder]) {
+fn report_running(driver: &mut Driver, runs: &[&StartOrder]) {
     let rows: Vec<_> = runs.iter().map(|run| (run.task, run.run, 10)).collect();
     driver.hold(runs[0].worker, &rows);
 }
 
 /// Lets a job's only task take down one worker after the other. Returns how many it took.
-fn crash_until_given_up(driver: &mut Driver, id: u64) -> usize {
+fn count_crashes_until_failed(driver: &mut Driver, id: u64) -> usize {
     let mut crashes = 0;
     while driver.state(id) != Some(JobState::Failed) {
         let start = driver.settle().remove(0);
@@ -34,12 +34,12 @@
 }
 
 #[test]
-fn the_log_tells_how_long_the_youngest_run_of_a_lost_worker_had_been_there() {
+fn the_loss_of_a_worker_reports_its_youngest_run() {
     let mut driver = Driver::new(1, 4);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     let old = driver.start_all().remove(0);
     driver.pass(2_000);
-    list(&mut driver, &[&old]);
+    report_running(&mut driver, &[&old]);
     driver.submit(2, policy(0), vec![step(1, 1)]);
     let young = driver.start_all().remove(0);
     driver.crash(old.worker);
@@ -58,17 +58,17 @@
         ..step(1, 1)
     };
     driver.submit(1, policy(0), vec![guilty]);
-    assert_eq!(crash_until_given_up(&mut driver, 1), 3);
+    assert_eq!(count_crashes_until_failed(&mut driver, 1), 3);
     assert!(driver.settle().is_empty());
 }
 
 #[test]
-fn what_had_been_there_for_long_is_not_suspected_beside_what_had_not() {
+fn a_long_running_task_is_not_suspected_beside_a_recent_one() {
     let mut driver = Driver::new(1, 8);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     let innocent = driver.settle().remove(0);
     driver.pass(PROBATION_MS);
-    list(&mut driver, &[&innocent]);
+    report_running(&mut driver, &[&innocent]);
     driver.submit(2, policy(0), vec![step(1, 1)]);
     driver.settle();
     driver.crash(innocent.worker);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn suspects_of_one_crash_start_on_workers_of_their_own() {
+fn suspects_of_the_same_crash_start_on_separate_workers() {
     let mut driver = Driver::new(3, 8);
     driver.submit(1, policy(0), vec![step(1, 2)]);
     driver.submit(2, policy(0), vec![step(1, 2)]);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_task_that_two_workers_crashed_under_starts_where_nothing_else_can_be_blamed() {
+fn a_task_suspected_of_two_crashes_starts_isolated() {
     let mut driver = Driver::new(1, 8);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     for _ in 0..2 {
@@ -106,12 +106,12 @@
         .partition(|start| start.task.step.job == JobId(1));
     assert_eq!((guilty.len(), other.len()), (1, 0), "one at a time");
     driver.pass(PROBATION_MS);
-    list(&mut driver, &[&guilty[0]]);
+    report_running(&mut driver, &[&guilty[0]]);
     assert_eq!(driver.settle().len(), 1, "it did not take its worker down");
 }
 
 #[test]
-fn a_worker_takes_nothing_new_while_it_is_kept_clear_for_a_suspect() {
+fn a_worker_reserved_for_an_isolated_suspect_gets_no_other_starts() {
     let mut driver = Driver::new(1, 8);
     driver.submit(1, policy(1), vec![step(1, 1)]);
     for _ in 0..2 {
@@ -124,13 +124,13 @@
     driver.submit(3, policy(0), vec![step(1, 1)]);
     assert!(driver.settle().is_empty());
     driver.pass(PROBATION_MS);
-    list(&mut driver, &[&first]);
+    report_running(&mut driver, &[&first]);
     let suspect = driver.settle().remove(0);
     assert_eq!(suspect.task.step.job, JobId(1));
 }
 
 #[test]
-fn tasks_of_a_suspected_step_start_one_at_a_time_until_one_has_not_taken_its_worker_down() {
+fn tasks_of_a_suspected_step_start_one_at_a_time_until_one_passes_probation() {
     let mut driver = Driver::new(4, 8);
     driver.submit(1, policy(0), vec![step(4, 2)]);
     let started = driver.settle();
@@ -139,12 +139,12 @@
     let scout = driver.settle();
     assert_eq!(scout.len(), 1);
     driver.pass(PROBATION_MS);
-    list(&mut driver, &[&scout[0]]);
+    report_running(&mut driver, &[&scout[0]]);
     assert_eq!(driver.settle().len(), 3);
 }
 
 #[test]
-fn a_task_that_ends_by_itself_clears_its_step() {
+fn a_task_that_completes_clears_its_step() {
     let mut driver = Driver::new(4, 8);
     driver.submit(1, policy(0), vec![step(4, 2)]);
     let started = driver.settle();
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_successor_goes_on_counting() {
+fn a_successor_continues_the_crash_count() {
     let mut driver = Driver::new(4, 8);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     for _ in 0..2 {
@@ -174,11 +174,11 @@
         successor.hold(key, &[]);
     }
     successor.apply(Event::Ticked);
-    assert_eq!(crash_until_given_up(&mut successor, 1), 1);
+    assert_eq!(count_crashes_until_failed(&mut successor, 1), 1);
 }
 
 #[test]
-fn a_suspect_is_started_only_once_the_store_knows_where() {
+fn a_suspect_starts_only_after_its_placement_is_stored() {
     let mut driver = Driver::new(2, 8);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     let first = driver.settle().remove(0);
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn a_crash_that_nobody_saw_counts_where_the_store_knows_what_was_started() {
+fn a_crash_between_schedulers_counts_for_a_stored_placement() {
     let mut driver = Driver::new(2, 8);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     let first = driver.settle().remove(0);
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn a_crash_counts_once_however_many_successors_learn_of_it() {
+fn a_crash_counts_once_across_several_successors() {
     let mut driver = Driver::new(2, 8);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     driver.settle();
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn a_worker_that_said_that_it_leaves_blames_nobody() {
+fn the_loss_of_a_draining_worker_is_not_a_crash() {
     let mut driver = Driver::new(1, 8);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     let start = driver.settle().remove(0);
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn a_worker_that_is_cut_off_and_still_listed_blames_nobody() {
+fn an_unreachable_but_registered_worker_has_not_crashed() {
     let mut driver = Driver::new(1, 8);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     let start = driver.settle().remove(0);
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn a_task_that_has_run_for_long_is_cleared() {
+fn a_task_that_has_run_long_enough_is_cleared() {
     let mut driver = Driver::new(1, 8);
     let lasting = StepSpec {
         long_running: true,
@@ -283,7 +283,7 @@
     let again = driver.settle().remove(0);
     for _ in 0..11 {
         driver.pass(1_000);
-        list(&mut driver, &[&again]);
+        report_running(&mut driver, &[&again]);
     }
     driver.record();
     assert!(driver.kept[&JobId(1)].steps[0].units[&0].crashes.is_empty());
@@ -292,7 +292,7 @@
 /// Workers crash for reasons of their own, too: one that had been there for seconds each time is not given up as soon
 /// as one whose start each worker crashed at.
 #[test]
-fn a_task_that_lasts_outlives_four_workers_that_crash_by_themselves() {
+fn a_long_running_task_survives_four_unrelated_worker_crashes() {
     let mut driver = Driver::new(1, 8);
     let lasting = StepSpec {
         long_running: true,
@@ -302,7 +302,7 @@
     for _ in 0..4 {
         let start = driver.settle().remove(0);
         driver.pass(3_000);
-        list(&mut driver, &[&start]);
+        report_running(&mut driver, &[&start]);
         driver.crash(start.worker);
     }
     assert_eq!(driver.settle().len(), 1);
@@ -311,7 +311,7 @@
 /// A gang with members on two workers, one of which has crashed: the member on the other is stopped, and the end of it is
 /// stored before the crash is known.
 #[test]
-fn a_successor_counts_a_crash_under_a_gang_that_was_being_ended() {
+fn a_successor_counts_a_crash_under_a_gang_that_was_closing() {
     let mut driver = Driver::new(2, 2);
     let gang = StepSpec {
         gang: true,
@@ -352,7 +352,7 @@
 
 /// What is left of a start that is accounted for is on workers that are registered, or gone with it.
 #[test]
-fn a_successor_waits_for_no_worker_of_a_start_that_is_accounted_for() {
+fn a_successor_does_not_wait_for_workers_of_an_accounted_start() {
     let left: syc_sched::JobProgress = serde_json::from_str(
         r#"{"state":"running","steps":[{"units":{"0":{"r":1,"a":1,"w":["","w-9"]}}}]}"#,
     )
--- a/crates/sched/tests/core/pools.rs
+++ b/crates/sched/tests/core/pools.rs
@@ -22,42 +22,46 @@
 const STANDBY: &str = "standby";
 
 /// Two VMs of the service, and two on standby.
-const HERE: usize = 2;
-const ALL: usize = 4;
+const IN_SERVICE: usize = 2;
+const ALL_VMS: usize = 4;
 
 fn pool(name: &str) -> ServiceName {
     ServiceName::new(name)
 }
 
 /// Lists all VMs; those before `here` are in the service's pool.
-fn listed(here: usize, state: VmState) -> Vec<VmInfo> {
-    let listed = (0..ALL).map(|index| VmInfo {
+fn vm_list(in_service: usize, state: VmState) -> Vec<VmInfo> {
+    let listed = (0..ALL_VMS).map(|index| VmInfo {
         id: vm(index),
-        pool: pool(if index < here { SERVICE } else { STANDBY }),
-        state: if index < HERE { VmState::Up } else { state },
+        pool: pool(if index < in_service { SERVICE } else { STANDBY }),
+        state: if index < IN_SERVICE {
+            VmState::Up
+        } else {
+            state
+        },
         capacity: cpu(4),
-        worker: (index < here).then(|| WorkerId::new(format!("w-{index}"))),
+        worker: (index < in_service).then(|| WorkerId::new(format!("w-{index}"))),
     });
     listed.collect()
 }
 
 fn driver() -> Driver {
-    let mut driver = Driver::new(HERE, 4);
+    let mut driver = Driver::new(IN_SERVICE, 4);
     driver.apply(Event::StandbySet(vec![pool(STANDBY)]));
     driver
 }
 
-fn pass(driver: &mut Driver, here: usize, time_ms: u64) {
+fn run_for(driver: &mut Driver, in_service: usize, time_ms: u64) {
     for _ in 0..time_ms / 100 {
         driver.pass(100);
         driver.renew_leases();
         driver.apply(Event::Ticked);
-        driver.list_vms(Some(listed(here, VmState::Up)));
+        driver.list_vms(Some(vm_list(in_service, VmState::Up)));
         driver.schedule();
     }
 }
 
-fn moves(driver: &mut Driver) -> Vec<(VmId, ServiceName)> {
+fn take_moves(driver: &mut Driver) -> Vec<(VmId, ServiceName)> {
     let orders = std::mem::take(&mut driver.vm_orders);
     let moves = orders.into_iter().filter_map(|(vm, duty)| match duty {
         Duty::Move { pool } => Some((vm, pool)),
@@ -66,7 +70,7 @@
     moves.collect()
 }
 
-fn answer(driver: &mut Driver, vm: VmId, to: &str, answer: DutyAnswer) {
+fn answer_move(driver: &mut Driver, vm: VmId, to: &str, answer: DutyAnswer) {
     driver.apply(Event::VmOrderAnswered {
         vm,
         duty: Duty::Move { pool: pool(to) },
@@ -75,49 +79,49 @@
 }
 
 #[test]
-fn nothing_moves_while_there_is_room() {
+fn no_vm_moves_while_there_is_enough_capacity() {
     let mut driver = driver();
     driver.submit(1, policy(0), vec![step(8, 1)]);
-    pass(&mut driver, HERE, 6_000);
-    assert_eq!(moves(&mut driver), []);
+    run_for(&mut driver, IN_SERVICE, 6_000);
+    assert_eq!(take_moves(&mut driver), []);
 }
 
 #[test]
-fn a_short_lack_moves_nothing() {
+fn a_brief_shortage_moves_no_vm() {
     let mut driver = driver();
-    pass(&mut driver, HERE, 4_000);
+    run_for(&mut driver, IN_SERVICE, 4_000);
     driver.submit(1, policy(0), vec![step(12, 1)]);
-    pass(&mut driver, HERE, 800);
-    assert_eq!(moves(&mut driver), []);
+    run_for(&mut driver, IN_SERVICE, 800);
+    assert_eq!(take_moves(&mut driver), []);
 }
 
 #[test]
-fn as_many_vms_come_as_waiting_tasks_need() {
+fn as_many_vms_are_moved_in_as_the_waiting_tasks_need() {
     let mut driver = driver();
     // Eight of the twelve cores that are asked for are there.
     driver.submit(1, policy(0), vec![step(12, 1)]);
-    pass(&mut driver, HERE, 6_000);
-    assert_eq!(moves(&mut driver), [(vm(2), pool(SERVICE))]);
-    answer(&mut driver, vm(2), SERVICE, DutyAnswer::Done);
-    pass(&mut driver, HERE, 1_000);
-    assert_eq!(moves(&mut driver), [], "it is on its way");
+    run_for(&mut driver, IN_SERVICE, 6_000);
+    assert_eq!(take_moves(&mut driver), [(vm(2), pool(SERVICE))]);
+    answer_move(&mut driver, vm(2), SERVICE, DutyAnswer::Done);
+    run_for(&mut driver, IN_SERVICE, 1_000);
+    assert_eq!(take_moves(&mut driver), [], "it is on its way");
 }
 
 #[test]
-fn a_vm_that_does_not_fit_is_not_asked_for_again() {
+fn a_vm_refused_as_unfit_is_not_requested_again() {
     let mut driver = driver();
     driver.submit(1, policy(0), vec![step(12, 1)]);
-    pass(&mut driver, HERE, 6_000);
-    moves(&mut driver);
-    answer(&mut driver, vm(2), SERVICE, DutyAnswer::Unfit);
-    pass(&mut driver, HERE, 2_000);
-    assert_eq!(moves(&mut driver), [(vm(3), pool(SERVICE))]);
+    run_for(&mut driver, IN_SERVICE, 6_000);
+    take_moves(&mut driver);
+    answer_move(&mut driver, vm(2), SERVICE, DutyAnswer::Unfit);
+    run_for(&mut driver, IN_SERVICE, 2_000);
+    assert_eq!(take_moves(&mut driver), [(vm(3), pool(SERVICE))]);
 }
 
 #[test]
-fn nothing_moves_by_a_list_that_is_old() {
+fn no_vm_moves_while_the_vm_list_is_stale() {
     let mut driver = driver();
-    pass(&mut driver, HERE, 4_000);
+    run_for(&mut driver, IN_SERVICE, 4_000);
     driver.pass(3_000);
     driver.submit(1, policy(0), vec![step(12, 1)]);
     for _ in 0..50 {
@@ -125,29 +129,29 @@
         driver.apply(Event::Ticked);
         driver.list_vms(None);
     }
-    assert_eq!(moves(&mut driver), []);
-    pass(&mut driver, HERE, 1_500);
-    assert_eq!(moves(&mut driver).len(), 1);
+    assert_eq!(take_moves(&mut driver), []);
+    run_for(&mut driver, IN_SERVICE, 1_500);
+    assert_eq!(take_moves(&mut driver).len(), 1);
 }
 
 #[test]
-fn a_move_in_doubt_is_ordered_again() {
+fn a_move_in_doubt_is_retried() {
     let mut driver = driver();
     driver.submit(1, policy(0), vec![step(12, 1)]);
-    pass(&mut driver, HERE, 6_000);
-    moves(&mut driver);
-    answer(&mut driver, vm(2), SERVICE, DutyAnswer::InDoubt);
-    pass(&mut driver, HERE, 1_000);
-    assert_eq!(moves(&mut driver), [(vm(2), pool(SERVICE))]);
+    run_for(&mut driver, IN_SERVICE, 6_000);
+    take_moves(&mut driver);
+    answer_move(&mut driver, vm(2), SERVICE, DutyAnswer::InDoubt);
+    run_for(&mut driver, IN_SERVICE, 1_000);
+    assert_eq!(take_moves(&mut driver), [(vm(2), pool(SERVICE))]);
 }
 
 #[test]
-fn a_vm_that_came_goes_back_when_it_has_been_idle() {
+fn a_borrowed_vm_is_returned_once_it_has_been_idle() {
     let mut driver = driver();
     driver.submit(1, policy(0), vec![step(12, 1)]);
-    pass(&mut driver, HERE, 6_000);
-    moves(&mut driver);
-    answer(&mut driver, vm(2), SERVICE, DutyAnswer::Done);
+    run_for(&mut driver, IN_SERVICE, 6_000);
+    take_moves(&mut driver);
+    answer_move(&mut driver, vm(2), SERVICE, DutyAnswer::Done);
     driver.apply(Event::WorkerListed(WorkerSpec {
         id: WorkerId::new("w-2"),
         ..worker(2, 4)
@@ -155,7 +159,7 @@
     for key in driver.workers.clone() {
         driver.hold(key, &[]);
     }
-    pass(&mut driver, HERE + 1, 500);
+    run_for(&mut driver, IN_SERVICE + 1, 500);
     let mut started = driver.confirm_starts();
     started.extend(driver.start_all());
     assert_eq!(started.len(), 12);
@@ -165,10 +169,10 @@
         driver.report(key, &[], &ended);
     }
     driver.record();
-    pass(&mut driver, HERE + 1, 9_000);
-    assert_eq!(moves(&mut driver), [], "it was just used");
-    pass(&mut driver, HERE + 1, 2_000);
-    assert_eq!(moves(&mut driver), [(vm(2), pool(STANDBY))]);
+    run_for(&mut driver, IN_SERVICE + 1, 9_000);
+    assert_eq!(take_moves(&mut driver), [], "it was just used");
+    run_for(&mut driver, IN_SERVICE + 1, 2_000);
+    assert_eq!(take_moves(&mut driver), [(vm(2), pool(STANDBY))]);
     driver.submit(2, policy(0), vec![step(12, 1)]);
     driver.schedule();
     let third = driver.workers[2];
--- a/crates/sched/tests/core/rebirth.rs
+++ b/crates/sched/tests/core/restarts.rs
@@ -16,30 +16,30 @@
 use crate::driver::worker;
 
 /// Makes a scheduler with one worker, in its first life.
-fn with_a_worker() -> (Driver, WorkerKey) {
+fn driver_with_worker() -> (Driver, WorkerKey) {
     let mut driver = Driver::new(0, 8);
-    let life = list_life(&mut driver, 1);
+    let life = register_incarnation(&mut driver, 1);
     (driver, life)
 }
 
 /// Lists a life of the worker, which runs nothing and has answered.
-fn list_life(driver: &mut Driver, born_ms: u64) -> WorkerKey {
+fn register_incarnation(driver: &mut Driver, started_ms: u64) -> WorkerKey {
     let spec = WorkerSpec {
-        id: WorkerId::of_life("w", Some(born_ms)),
+        id: WorkerId::of_life("w", Some(started_ms)),
         ..worker(0, 8)
     };
     driver.apply(Event::WorkerListed(spec));
     driver.workers[driver.workers.len() - 1]
 }
 
-fn unlist_life(driver: &mut Driver, born_ms: u64) {
-    let id = WorkerId::of_life("w", Some(born_ms));
+fn unregister_incarnation(driver: &mut Driver, started_ms: u64) {
+    let id = WorkerId::of_life("w", Some(started_ms));
     driver.apply(Event::WorkerUnlisted(id));
 }
 
 #[test]
-fn the_next_life_counts_its_ends_anew() {
-    let (mut driver, first) = with_a_worker();
+fn a_new_incarnation_numbers_its_ends_from_one() {
+    let (mut driver, first) = driver_with_worker();
     driver.hold(first, &[]);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     let start = driver.settle().remove(0);
@@ -47,7 +47,7 @@
     driver.record();
     assert_eq!(driver.scheduler.acknowledged_ends(first).0, 1);
     driver.apply(Event::Reborn { worker: first });
-    let next = list_life(&mut driver, 2);
+    let next = register_incarnation(&mut driver, 2);
     driver.hold(next, &[]);
     assert_eq!(driver.scheduler.acknowledged_ends(next).0, 0);
     driver.submit(2, policy(0), vec![step(1, 1)]);
@@ -59,8 +59,8 @@
 }
 
 #[test]
-fn an_acknowledgement_is_told_once_and_to_nobody_who_did_not_answer() {
-    let (mut driver, key) = with_a_worker();
+fn an_acknowledgement_is_sent_once_and_only_to_a_worker_that_answers() {
+    let (mut driver, key) = driver_with_worker();
     driver.hold(key, &[]);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     let start = driver.settle().remove(0);
@@ -84,15 +84,15 @@
 }
 
 #[test]
-fn what_a_life_had_listed_ends_with_it_at_once() {
-    let (mut driver, first) = with_a_worker();
+fn reported_runs_end_at_once_with_their_incarnation() {
+    let (mut driver, first) = driver_with_worker();
     driver.hold(first, &[]);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     let start = driver.settle().remove(0);
     driver.hold(first, &[(start.task, start.run, 10)]);
     driver.apply(Event::Reborn { worker: first });
-    unlist_life(&mut driver, 1);
-    let next = list_life(&mut driver, 2);
+    unregister_incarnation(&mut driver, 1);
+    let next = register_incarnation(&mut driver, 2);
     driver.hold(next, &[]);
     driver.record();
     driver.record();
@@ -102,16 +102,16 @@
 
 /// The order named the worker, not its life.
 #[test]
-fn a_start_that_may_have_reached_the_next_life_is_stopped_there_before_the_task_starts_again() {
-    let (mut driver, first) = with_a_worker();
+fn a_start_that_may_have_reached_the_next_incarnation_is_stopped_there_first() {
+    let (mut driver, first) = driver_with_worker();
     driver.hold(first, &[]);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     let start = driver.settle().remove(0);
     driver.apply(Event::Reborn { worker: first });
     driver.record();
     assert!(driver.settle().is_empty(), "it may run in the next life");
-    unlist_life(&mut driver, 1);
-    let next = list_life(&mut driver, 2);
+    unregister_incarnation(&mut driver, 1);
+    let next = register_incarnation(&mut driver, 2);
     driver.hold(next, &[(start.task, start.run, 10)]);
     assert_eq!(driver.stops[0].worker, next);
     assert!(driver.settle().is_empty());
@@ -127,15 +127,15 @@
 }
 
 #[test]
-fn a_late_answer_to_the_life_before_changes_nothing_of_the_next() {
-    let (mut driver, first) = with_a_worker();
+fn a_late_answer_of_the_previous_incarnation_does_not_affect_the_next() {
+    let (mut driver, first) = driver_with_worker();
     driver.hold(first, &[]);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     driver.schedule();
     let start = driver.starts.remove(0);
     driver.apply(Event::Reborn { worker: first });
-    unlist_life(&mut driver, 1);
-    let next = list_life(&mut driver, 2);
+    unregister_incarnation(&mut driver, 1);
+    let next = register_incarnation(&mut driver, 2);
     driver.apply(Event::StartAnswered {
         worker: first,
         task: start.task,
@@ -157,13 +157,13 @@
 }
 
 #[test]
-fn a_start_whose_worker_nobody_hears_of_again_is_over_when_the_longest_lease_is() {
-    let (mut driver, first) = with_a_worker();
+fn a_misdirected_start_whose_worker_never_returns_ends_with_the_longest_lease() {
+    let (mut driver, first) = driver_with_worker();
     driver.hold(first, &[]);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     driver.settle();
     driver.apply(Event::Reborn { worker: first });
-    unlist_life(&mut driver, 1);
+    unregister_incarnation(&mut driver, 1);
     let other = WorkerSpec {
         id: WorkerId::of_life("other", Some(1)),
         ..worker(1, 8)
@@ -183,8 +183,8 @@
 
 /// It may be another kind of worker: what was said of the life before says nothing of it.
 #[test]
-fn a_step_that_the_life_before_might_not_run_asks_about_the_next() {
-    let (mut driver, first) = with_a_worker();
+fn advice_that_denied_the_previous_incarnation_is_requested_for_the_next() {
+    let (mut driver, first) = driver_with_worker();
     driver.hold(first, &[]);
     let advised = QueuePolicy {
         advice: Some(AdvicePolicy {
@@ -210,8 +210,8 @@
     driver.schedule();
     assert!(driver.asks.is_empty(), "all have been asked about");
     driver.apply(Event::Reborn { worker: first });
-    unlist_life(&mut driver, 1);
-    let next = list_life(&mut driver, 2);
+    unregister_incarnation(&mut driver, 1);
+    let next = register_incarnation(&mut driver, 2);
     driver.hold(next, &[]);
     driver.schedule();
     assert_eq!(driver.asks, [(id, vec![next])]);
@@ -220,8 +220,9 @@
 /// Its worker started again before it had listed the run, and another worker has room: a start there would run beside
 /// the one that may have reached the next life.
 #[test]
-fn a_start_that_may_have_reached_the_next_life_goes_nowhere_else_before_it_was_stopped() {
-    let (mut driver, first) = with_a_worker();
+fn a_start_that_may_have_reached_the_next_incarnation_does_not_start_elsewhere_before_it_is_stopped()
+ {
+    let (mut driver, first) = driver_with_worker();
     driver.hold(first, &[]);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     let start = driver.settle().remove(0);
@@ -231,8 +232,8 @@
     driver.apply(Event::Reborn { worker: first });
     driver.record();
     assert!(driver.settle().is_empty(), "it may run in the next life");
-    unlist_life(&mut driver, 1);
-    let next = list_life(&mut driver, 2);
+    unregister_incarnation(&mut driver, 1);
+    let next = register_incarnation(&mut driver, 2);
     let stops: Vec<_> = driver.stops.iter().map(|stop| stop.worker).collect();
     assert_eq!(stops, [next]);
     driver.hold(next, &[]);
--- a/crates/sched/tests/core/review.rs
+++ b/crates/sched/tests/core/review.rs
@@ -17,7 +17,7 @@
 use crate::driver::Driver;
 use crate::driver::policy;
 use crate::driver::step;
-use crate::site::Site;
+use crate::simulation::Simulation;
 
 fn answer(driver: &mut Driver, start: &StartOrder, answer: StartAnswer) {
     driver.apply(Event::StartAnswered {
@@ -76,25 +76,25 @@
 
 /// Says whether the lease of the only sound worker is let lapse. Of the four tasks of each, three are cancelled.
 fn sound_worker_lapses(workers: usize, sound: usize) -> bool {
-    let mut site = Site::new(workers, 4);
-    site.work_ms = 60_000;
+    let mut simulation = Simulation::new(workers, 4);
+    simulation.work_ms = 60_000;
     let tasks = 4 * u64::try_from(workers).expect("few");
-    site.submit(1..tasks + 1);
-    site.play(500);
+    simulation.submit(1..tasks + 1);
+    simulation.run_for(500);
     for index in 0..workers {
         let time_ms = if index == sound { 500 } else { 1_000_000 };
-        site.shut(index, time_ms);
+        simulation.reset_orders(index, time_ms);
     }
     let mut cancelled = BTreeMap::new();
-    for sent in site.sent.clone() {
+    for sent in simulation.sent.clone() {
         let count = cancelled.entry(sent.worker).or_insert(0);
         if *count < 3 {
             *count += 1;
-            site.driver.cancel(sent.task.step.job.0);
+            simulation.driver.cancel(sent.task.step.job.0);
         }
     }
-    site.play(2 * Options::default().doubt_limit_ms);
-    site.beliefs_of(sound).contains(&"lease_let_lapse")
+    simulation.run_for(2 * Options::default().doubt_limit_ms);
+    simulation.beliefs_of(sound).contains(&"lease_let_lapse")
 }
 
 /// A reset comes within a millisecond, and so may the next report of a worker that lists an end.
--- a/crates/sched/tests/core/silence.rs
+++ b/crates/sched/tests/core/silence.rs
@@ -9,7 +9,7 @@
 use crate::driver::step;
 
 #[test]
-fn a_task_of_a_silent_worker_starts_elsewhere_only_when_its_lease_has_lapsed() {
+fn a_task_of_a_silent_worker_starts_elsewhere_only_after_the_lease_lapses() {
     let mut driver = Driver::new(2, 2);
     driver.submit(1, policy(0), vec![step(1, 2)]);
     driver.schedule();
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn another_life_of_a_worker_ends_what_ran_on_the_one_before_at_once() {
+fn a_new_incarnation_ends_the_runs_of_the_previous_one_at_once() {
     let mut driver = Driver::new(2, 2);
     driver.submit(1, policy(0), vec![step(1, 2)]);
     driver.schedule();
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn the_first_repeat_of_a_start_in_doubt_comes_soon() {
+fn the_first_retry_of_a_start_in_doubt_is_prompt() {
     let mut driver = Driver::new(1, 2);
     driver.submit(1, policy(0), vec![step(1, 2)]);
     driver.schedule();
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_start_in_doubt_is_sent_again_and_then_stopped_and_goes_elsewhere_only_after_that() {
+fn a_start_in_doubt_is_retried_then_stopped_before_it_goes_elsewhere() {
     let mut driver = Driver::new(2, 2);
     driver.submit(1, policy(0), vec![step(1, 2)]);
     driver.schedule();
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn what_is_in_doubt_is_counted_with_its_age() {
+fn runs_in_doubt_are_counted_with_their_age() {
     let mut driver = Driver::new(1, 4);
     driver.submit(1, policy(0), vec![step(2, 1)]);
     driver.schedule();
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn the_longest_silence_and_lease_are_told() {
+fn the_longest_silence_and_lease_are_reported() {
     let mut driver = Driver::new(2, 4);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     driver.schedule();
--- a/crates/sched/tests/core/site.rs
+++ b/crates/sched/tests/core/simulation.rs
@@ -21,7 +21,7 @@
 
 /// An order that a worker was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Sent {
+pub struct SentOrder {
     pub at: Millis,
     pub worker: WorkerKey,
     pub task: TaskId,
@@ -30,9 +30,9 @@
 }
 
 #[derive(Debug, Default)]
-struct Model {
+struct SimulatedWorker {
     /// Until then each order that it is sent is reset at once.
-    shut_until: Millis,
+    resets_until: Millis,
     lease_until: Millis,
     renew_at: Millis,
     running: BTreeMap<(TaskId, Run), Millis>,
@@ -41,36 +41,38 @@
 
 /// Workers, the scheduler that drives them, and what was sent.
 #[derive(Debug)]
-pub struct Site {
+pub struct Simulation {
     pub driver: Driver,
-    pub sent: Vec<Sent>,
+    pub sent: Vec<SentOrder>,
     /// Tasks that ran on two workers at a time.
-    pub twice: Vec<TaskId>,
+    pub ran_concurrently: Vec<TaskId>,
     pub lapsed: usize,
     pub work_ms: u64,
-    models: BTreeMap<WorkerKey, Model>,
+    states: BTreeMap<WorkerKey, SimulatedWorker>,
 }
 
-impl Site {
+impl Simulation {
     pub fn new(workers: usize, cores: u64) -> Self {
         let driver = Driver::untried(workers, cores);
-        let models = driver.workers.iter();
-        let models = models.map(|key| (*key, Model::default())).collect();
+        let states = driver.workers.iter();
+        let states = states
+            .map(|key| (*key, SimulatedWorker::default()))
+            .collect();
         Self {
             driver,
             sent: Vec::new(),
-            twice: Vec::new(),
+            ran_concurrently: Vec::new(),
             lapsed: 0,
             work_ms: 500,
-            models,
+            states,
         }
     }
 
     /// Lets a worker reset each order from now on, for so long.
-    pub fn shut(&mut self, index: usize, time_ms: u64) {
+    pub fn reset_orders(&mut self, index: usize, time_ms: u64) {
         let key = self.driver.workers[index];
         let until = self.driver.now.0.saturating_add(time_ms);
-        self.model(key).shut_until = Millis(until);
+        self.state_of(key).resets_until = Millis(until);
     }
 
     /// Submits jobs of one task each.
@@ -81,9 +83,10 @@
     }
 
     /// Lets time pass until all of the jobs are done, or the limit is reached; returns the time that passed.
-    pub fn play_until_done(&mut self, jobs: std::ops::Range<u64>, limit_ms: u64) -> u64 {
+    pub fn run_until_done(&mut self, jobs: std::ops::Range<u64>, limit_ms: u64) -> u64 {
         let from = self.driver.now;
-        let is_done = |site: &Self, id| site.driver.state(id) == Some(JobState::Completed);
+        let is_done =
+            |simulation: &Self, id| simulation.driver.state(id) == Some(JobState::Completed);
         while self.driver.now.since(from) < limit_ms {
             if jobs.clone().all(|id| is_done(self, id)) {
                 break;
@@ -93,7 +96,7 @@
         self.driver.now.since(from)
     }
 
-    pub fn play(&mut self, time_ms: u64) {
+    pub fn run_for(&mut self, time_ms: u64) {
         let until = self.driver.now.plus(time_ms);
         while self.driver.now < until {
             self.step();
@@ -101,7 +104,7 @@
     }
 
     /// Returns what a worker was sent.
-    pub fn sent_to(&self, index: usize) -> Vec<Sent> {
+    pub fn sent_to(&self, index: usize) -> Vec<SentOrder> {
         let key = self.driver.workers[index];
         let sent = self.sent.iter().filter(|sent| sent.worker == key);
         sent.copied().collect()
@@ -115,24 +118,26 @@
         of_worker.map(|(_, belief)| *belief).collect()
     }
 
-    fn model(&mut self, key: WorkerKey) -> &mut Model {
-        self.models.get_mut(&key).expect("a worker of the site")
+    fn state_of(&mut self, key: WorkerKey) -> &mut SimulatedWorker {
+        self.states
+            .get_mut(&key)
+            .expect("a worker of the simulation")
     }
 
     fn step(&mut self) {
         self.driver.pass(STEP_MS);
-        self.advance();
+        self.end_due_runs();
         for key in self.driver.workers.clone() {
             self.renew(key);
         }
         self.driver.apply(Event::Ticked);
         self.driver.record();
         self.driver.schedule();
-        self.carry_out();
+        self.execute_orders();
     }
 
     /// Carries out orders until there are none: a reset comes at once, and may bring the next order.
-    fn carry_out(&mut self) {
+    fn execute_orders(&mut self) {
         for _ in 0..100 {
             let starts = std::mem::take(&mut self.driver.starts);
             let stops = std::mem::take(&mut self.driver.stops);
@@ -165,8 +170,8 @@
         panic!("orders are repeated without any time between them");
     }
 
-    fn note(&mut self, worker: WorkerKey, task: TaskId, run: Run, is_start: bool) {
-        self.sent.push(Sent {
+    fn record_order(&mut self, worker: WorkerKey, task: TaskId, run: Run, is_start: bool) {
+        self.sent.push(SentOrder {
             at: self.driver.now,
             worker,
             task,
@@ -176,45 +181,45 @@
     }
 
     fn start(&mut self, worker: WorkerKey, task: TaskId, run: Run) -> bool {
-        self.note(worker, task, run, true);
+        self.record_order(worker, task, run, true);
         let now = self.driver.now;
-        if self.model(worker).shut_until > now {
+        if self.state_of(worker).resets_until > now {
             return false;
         }
-        let mut elsewhere = self.models.iter().filter(|(key, _)| **key != worker);
-        if elsewhere.any(|(_, model)| model.running.keys().any(|(other, _)| *other == task)) {
-            self.twice.push(task);
+        let mut elsewhere = self.states.iter().filter(|(key, _)| **key != worker);
+        if elsewhere.any(|(_, state)| state.running.keys().any(|(other, _)| *other == task)) {
+            self.ran_concurrently.push(task);
         }
         let ends_at = now.plus(self.work_ms);
-        let model = self.model(worker);
-        model.lease_until = model.lease_until.max(now.plus(LEASE_MS));
-        model.running.insert((task, run), ends_at);
+        let state = self.state_of(worker);
+        state.lease_until = state.lease_until.max(now.plus(LEASE_MS));
+        state.running.insert((task, run), ends_at);
         true
     }
 
     fn stop(&mut self, worker: WorkerKey, task: TaskId, run: Run) -> bool {
-        self.note(worker, task, run, false);
+        self.record_order(worker, task, run, false);
         let now = self.driver.now;
-        let model = self.model(worker);
-        if model.shut_until > now {
+        let state = self.state_of(worker);
+        if state.resets_until > now {
             return false;
         }
-        if model.running.remove(&(task, run)).is_some() {
-            model.ended.push((task, run, RunEnd::Stopped));
+        if state.running.remove(&(task, run)).is_some() {
+            state.ended.push((task, run, RunEnd::Stopped));
         }
         true
     }
 
     /// Ends what is done, and what holds no lease any more.
-    fn advance(&mut self) {
+    fn end_due_runs(&mut self) {
         let now = self.driver.now;
-        for model in self.models.values_mut() {
-            let lapsed = model.lease_until <= now;
+        for state in self.states.values_mut() {
+            let lapsed = state.lease_until <= now;
             let over = |ends_at: &Millis| lapsed || *ends_at <= now;
-            let (ended, running): (Vec<_>, Vec<_>) = std::mem::take(&mut model.running)
+            let (ended, running): (Vec<_>, Vec<_>) = std::mem::take(&mut state.running)
                 .into_iter()
                 .partition(|(_, ends_at)| over(ends_at));
-            model.running = running.into_iter().collect();
+            state.running = running.into_iter().collect();
             for ((task, run), ends_at) in ended {
                 let end = if ends_at <= now {
                     RunEnd::Done
@@ -222,7 +227,7 @@
                     RunEnd::Lapsed
                 };
                 self.lapsed += usize::from(end == RunEnd::Lapsed);
-                model.ended.push((task, run, end));
+                state.ended.push((task, run, end));
             }
         }
     }
@@ -231,21 +236,21 @@
         let now = self.driver.now;
         let may_renew = self.driver.scheduler.may_renew(key);
         let work_ms = self.work_ms;
-        let model = self.model(key);
-        if model.renew_at > now {
+        let state = self.state_of(key);
+        if state.renew_at > now {
             return;
         }
-        model.renew_at = now.plus(RENEW_MS);
+        state.renew_at = now.plus(RENEW_MS);
         if may_renew {
-            model.lease_until = model.lease_until.max(now.plus(LEASE_MS));
+            state.lease_until = state.lease_until.max(now.plus(LEASE_MS));
         }
         let mut running = Vec::new();
-        for ((task, run), ends_at) in &model.running {
+        for ((task, run), ends_at) in &state.running {
             let left = ends_at.since(now) * 100 / work_ms;
             let percent = u8::try_from(100 - left.min(100)).unwrap_or(0);
             running.push((*task, *run, percent));
         }
-        let ended = std::mem::take(&mut model.ended);
+        let ended = std::mem::take(&mut state.ended);
         if may_renew {
             self.driver.apply(Event::Renewing { worker: key });
         }
--- a/crates/sched/tests/core/slow.rs
+++ b/crates/sched/tests/core/slow.rs
@@ -18,13 +18,13 @@
 use crate::driver::worker;
 
 /// How far the runs of a worker are, where each takes so long.
-fn percents(started: &[StartOrder], worker: WorkerKey, after_ms: u64, whole_ms: u64) -> Listed {
+fn progress_on(started: &[StartOrder], worker: WorkerKey, after_ms: u64, whole_ms: u64) -> Running {
     let percent = u8::try_from((after_ms * 100 / whole_ms).min(99)).expect("below 100");
     let here = started.iter().filter(|start| start.worker == worker);
     here.map(|start| (start.task, start.run, percent)).collect()
 }
 
-type Listed = Vec<(TaskId, Run, u8)>;
+type Running = Vec<(TaskId, Run, u8)>;
 
 /// Starts the tasks of two jobs, four on each worker, that take 4 s. On the first worker they take so many
 /// times as long. Returns the starts after a second of reports.
@@ -38,7 +38,7 @@
     for after_ms in (0..=1_000).step_by(100) {
         for worker in driver.workers.clone() {
             let whole_ms = if worker == first { 4_000 * slow } else { 4_000 };
-            let listed = percents(&started, worker, after_ms, whole_ms);
+            let listed = progress_on(&started, worker, after_ms, whole_ms);
             driver.hold(worker, &listed);
         }
         driver.apply(Event::Ticked);
@@ -56,7 +56,7 @@
 }
 
 /// Returns on which workers one more task of each of eight jobs starts.
-fn next_workers(driver: &mut Driver) -> Vec<WorkerKey> {
+fn workers_of_new_tasks(driver: &mut Driver) -> Vec<WorkerKey> {
     for id in 10..18 {
         driver.submit(id, policy(0), vec![step(1, 1)]);
     }
@@ -67,15 +67,15 @@
 #[test_case(1, true; "as fast as the others")]
 #[test_case(2, true; "within what estimates leave open")]
 #[test_case(6, false; "six times slower")]
-fn nothing_new_goes_to_a_worker_whose_runs_all_come_too_slowly(slow: u64, used: bool) {
+fn a_worker_whose_runs_are_all_slow_gets_no_new_tasks(slow: u64, used: bool) {
     let mut driver = Driver::new(4, 8);
     run_for_a_second(&mut driver, &tasks_of_four_seconds(), slow);
     let first = driver.workers[0];
-    assert_eq!(next_workers(&mut driver).contains(&first), used);
+    assert_eq!(workers_of_new_tasks(&mut driver).contains(&first), used);
 }
 
 #[test]
-fn a_slow_worker_is_tried_again_after_a_while() {
+fn a_slow_worker_is_used_again_after_its_quarantine() {
     let mut driver = Driver::new(4, 8);
     let started = run_for_a_second(&mut driver, &tasks_of_four_seconds(), 6);
     let first = driver.workers[0];
@@ -88,12 +88,12 @@
     for worker in driver.workers.clone() {
         driver.hold(worker, &[]);
     }
-    assert!(next_workers(&mut driver).contains(&first));
+    assert!(workers_of_new_tasks(&mut driver).contains(&first));
 }
 
 #[test_case(true; "saved")]
 #[test_case(false; "not saved")]
-fn what_would_end_sooner_elsewhere_moves_off_a_slow_worker(checkpointed: bool) {
+fn runs_that_would_end_sooner_elsewhere_move_off_a_slow_worker(checkpointed: bool) {
     let mut driver = Driver::new(4, 8);
     let step = StepSpec {
         checkpointed,
@@ -111,14 +111,14 @@
 }
 
 #[test]
-fn nothing_moves_where_no_other_worker_has_room() {
+fn no_run_moves_if_no_other_worker_has_room() {
     let mut driver = Driver::new(4, 4);
     run_for_a_second(&mut driver, &tasks_of_four_seconds(), 6);
     assert_eq!(driver.stops, []);
 }
 
 #[test]
-fn members_of_gangs_say_nothing_of_their_worker() {
+fn gang_members_do_not_count_towards_slowness() {
     let mut driver = Driver::new(4, 8);
     let gang = StepSpec {
         gang: true,
@@ -130,7 +130,7 @@
 
 /// How long such a task takes depends on where it is.
 #[test]
-fn tasks_with_data_in_one_rack_say_nothing_of_their_worker() {
+fn tasks_with_a_data_rack_do_not_count_towards_slowness() {
     let mut driver = Driver::new(4, 8);
     let near = StepSpec {
         data_rack: Some("r-9".into()),
@@ -142,7 +142,7 @@
 
 /// A predecessor's run may just have been restored, and a resumed one is restored first.
 #[test]
-fn a_run_that_was_taken_over_counts_from_its_first_step_on() {
+fn an_adopted_run_is_measured_from_its_first_progress() {
     let mut driver = Driver::new(0, 0);
     driver.restore(1, policy(0), vec![step(8, 1)], None);
     for index in 0..4 {
@@ -173,5 +173,5 @@
     }
     assert_eq!(driver.stops, []);
     let first = driver.workers[0];
-    assert!(next_workers(&mut driver).contains(&first));
+    assert!(workers_of_new_tasks(&mut driver).contains(&first));
 }
--- a/crates/sched/tests/core/spread.rs
+++ b/crates/sched/tests/core/spread.rs
@@ -6,7 +6,7 @@
 use crate::driver::policy;
 use crate::driver::step;
 
-fn spread(tasks: u32, cores: u64) -> StepSpec {
+fn one_per_worker(tasks: u32, cores: u64) -> StepSpec {
     StepSpec {
         tasks_per_worker: Some(1),
         ..step(tasks, cores)
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn room_that_is_made_for_two_tasks_of_a_step_does_not_put_them_on_one_worker() {
+fn preemption_for_two_tasks_of_a_step_respects_tasks_per_worker() {
     let mut driver = Driver::new(1, 8);
     let patient = StepSpec {
         checkpointed: true,
@@ -27,7 +27,7 @@
     let listed: Vec<_> = running.iter().map(|s| (s.task, s.run, 10)).collect();
     driver.hold(driver.workers[0], &listed);
 
-    driver.submit(2, policy(0), vec![spread(2, 2)]);
+    driver.submit(2, policy(0), vec![one_per_worker(2, 2)]);
     driver.schedule();
     driver.pass(100);
     driver.hold(driver.workers[0], &[]);
--- a/crates/sched/tests/core/rooms.rs
+++ b/crates/sched/tests/core/stale_capacity.rs
@@ -2,11 +2,11 @@
 
 use syc_sched::Action;
 use syc_sched::Event;
-use syc_sched::Hindrance;
 use syc_sched::Note;
 use syc_sched::Options;
 use syc_sched::StartAnswer;
 use syc_sched::StepSpec;
+use syc_sched::UnusableReason;
 use syc_sched::WorkerKey;
 use syc_sched::WorkerSpec;
 
@@ -16,7 +16,7 @@
 use crate::driver::step;
 use crate::driver::worker;
 
-fn shrink(driver: &mut Driver, cores: u64) {
+fn register_with_cores(driver: &mut Driver, cores: u64) {
     let spec = WorkerSpec {
         capacity: cpu(cores),
         ..worker(0, 8)
@@ -25,12 +25,12 @@
 }
 
 #[test]
-fn a_worker_whose_room_shrank_under_what_runs_gets_nothing_before_enough_has_ended() {
+fn an_overcommitted_worker_gets_no_starts_until_enough_runs_end() {
     let mut driver = Driver::new(1, 8);
     driver.submit(1, policy(0), vec![step(2, 3)]);
     let started = driver.settle();
     assert_eq!(started.len(), 2);
-    shrink(&mut driver, 4);
+    register_with_cores(&mut driver, 4);
     driver.submit(2, policy(0), vec![step(1, 1)]);
     assert!(driver.settle().is_empty());
     driver.end(
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_worker_that_was_silent_for_long_gets_nothing_before_it_has_told_its_room_again() {
+fn after_a_long_silence_a_worker_gets_no_starts_until_it_registers_again() {
     let mut driver = Driver::new(1, 8);
     let worker = driver.workers[0];
     driver.apply(Event::RenewalFailed { worker });
@@ -51,14 +51,14 @@
     driver.hold(worker, &[]);
     driver.submit(1, policy(0), vec![step(1, 4)]);
     assert!(driver.settle().is_empty());
-    shrink(&mut driver, 2);
+    register_with_cores(&mut driver, 2);
     assert!(driver.settle().is_empty(), "it has less");
-    shrink(&mut driver, 8);
+    register_with_cores(&mut driver, 8);
     assert_eq!(driver.settle().len(), 1);
 }
 
 #[test]
-fn a_worker_whose_room_shrank_is_not_sent_again_what_it_may_not_have_started() {
+fn unanswered_starts_are_not_retried_on_a_worker_whose_capacity_shrank() {
     let mut driver = Driver::new(1, 8);
     driver.submit(1, policy(0), vec![step(2, 4)]);
     driver.schedule();
@@ -71,7 +71,7 @@
             answer: StartAnswer::InDoubt,
         });
     }
-    shrink(&mut driver, 4);
+    register_with_cores(&mut driver, 4);
     for _ in 0..20 {
         driver.pass(100);
         driver.apply(Event::Ticked);
@@ -82,7 +82,7 @@
 
 /// What is stopped for urgent work has to make the room that it takes, beyond what is lacking already.
 #[test]
-fn nothing_is_stopped_for_urgent_work_where_that_would_not_make_room() {
+fn nothing_is_preempted_if_the_urgent_task_would_still_not_fit() {
     let mut driver = Driver::new(1, 8);
     let patient = StepSpec {
         checkpointed: true,
@@ -91,7 +91,7 @@
     driver.submit(1, policy(2), vec![patient]);
     let started = driver.settle();
     assert_eq!(started.len(), 2);
-    shrink(&mut driver, 3);
+    register_with_cores(&mut driver, 3);
     driver.submit(2, policy(0), vec![step(1, 4)]);
     driver.settle();
     assert!(driver.stops.is_empty(), "it has no room for it at all");
@@ -101,7 +101,7 @@
 }
 
 /// Makes a scheduler that reads registrations, and one worker that has just answered after four seconds.
-fn answering_after_a_long_silence() -> (Driver, WorkerKey) {
+fn driver_after_long_silence() -> (Driver, WorkerKey) {
     let mut driver = Driver::new(1, 8);
     let worker = driver.workers[0];
     driver.read_workers();
@@ -113,8 +113,8 @@
 
 /// A worker with nothing new to say is not written again where workers register, and got nothing for good.
 #[test]
-fn a_worker_that_is_still_registered_after_its_silence_has_the_room_that_it_told_last() {
-    let (mut driver, worker) = answering_after_a_long_silence();
+fn a_registration_that_outlasts_the_silence_confirms_the_known_capacity() {
+    let (mut driver, worker) = driver_after_long_silence();
     let answered_at = driver.now;
     driver.submit(1, policy(0), vec![step(1, 4)]);
     let told_within_ms = Options::default().told_within_ms;
@@ -130,8 +130,8 @@
 
 /// While the registrations can't be read, nobody knows whether they would have lapsed.
 #[test]
-fn a_worker_whose_registration_could_not_be_read_meanwhile_is_waited_for_anew() {
-    let (mut driver, worker) = answering_after_a_long_silence();
+fn time_without_registration_reads_does_not_confirm_capacity() {
+    let (mut driver, worker) = driver_after_long_silence();
     driver.submit(1, policy(0), vec![step(1, 4)]);
     let told_within_ms = Options::default().told_within_ms;
     driver.pass(told_within_ms);
@@ -148,8 +148,8 @@
 
 /// Each read of a slow store takes seconds, and each began the wait anew.
 #[test]
-fn reads_that_take_long_add_up_to_the_wait_for_a_registration_that_stays() {
-    let (mut driver, worker) = answering_after_a_long_silence();
+fn slow_registration_reads_add_up_to_the_confirmation_time() {
+    let (mut driver, worker) = driver_after_long_silence();
     driver.submit(1, policy(0), vec![step(1, 4)]);
     for _ in 0..5 {
         driver.pass(2_000);
@@ -161,8 +161,8 @@
 
 /// Without it, nobody could tell why free workers were given nothing.
 #[test]
-fn a_step_that_waits_tells_why_workers_get_nothing_new() {
-    let (mut driver, _worker) = answering_after_a_long_silence();
+fn a_waiting_step_reports_why_workers_are_unusable() {
+    let (mut driver, _worker) = driver_after_long_silence();
     driver.submit(1, policy(0), vec![step(1, 4)]);
     driver.schedule();
     driver.pass(1_000);
@@ -172,6 +172,6 @@
         _ => None,
     });
     let hindered = told.expect("it has waited for a second");
-    assert_eq!(hindered.count(Hindrance::RoomInDoubt), 1);
+    assert_eq!(hindered.count(UnusableReason::RoomInDoubt), 1);
     assert_eq!(hindered.to_string(), "room_in_doubt=1");
 }
--- a/crates/sched/tests/core/doubts.rs
+++ b/crates/sched/tests/core/unanswered_orders.rs
@@ -11,33 +11,33 @@
 use crate::driver::Driver;
 use crate::driver::policy;
 use crate::driver::step;
-use crate::site::Sent;
-use crate::site::Site;
+use crate::simulation::SentOrder;
+use crate::simulation::Simulation;
 
-const FOR_EVER_MS: u64 = 1_000_000;
+const FOREVER_MS: u64 = 1_000_000;
 
 /// Starts without an answer that a worker has at most.
 const STARTS_IN_FLIGHT: usize = 8;
 
 /// Longest time that a task may wait for a worker that takes no order, beside its own run and its next start.
-fn longest_doubt_ms() -> u64 {
+fn max_doubt_ms() -> u64 {
     let options = Options::default();
     options.doubt_limit_ms + options.lease_bound_ms
 }
 
 /// Three workers, the first of which resets each order for so long from the first one on; some jobs come.
-fn site_with_a_shut_worker(time_ms: u64) -> Site {
-    let mut site = Site::new(3, 4);
-    site.shut(0, time_ms);
-    site.submit(1..13);
-    site
+fn simulation_with_unresponsive_worker(time_ms: u64) -> Simulation {
+    let mut simulation = Simulation::new(3, 4);
+    simulation.reset_orders(0, time_ms);
+    simulation.submit(1..13);
+    simulation
 }
 
 /// Returns the shortest time between two orders about the same run on a worker.
-fn shortest_gap_ms(sent: &[Sent]) -> u64 {
+fn shortest_gap_ms(sent: &[SentOrder]) -> u64 {
     let mut shortest = u64::MAX;
     for (index, later) in sent.iter().enumerate() {
-        let same = |earlier: &&Sent| earlier.task == later.task && earlier.run == later.run;
+        let same = |earlier: &&SentOrder| earlier.task == later.task && earlier.run == later.run;
         let Some(earlier) = sent[..index].iter().rev().find(same) else {
             continue;
         };
@@ -47,97 +47,97 @@
 }
 
 /// Counts the most orders that were sent in any second.
-fn most_a_second(sent: &[Sent]) -> usize {
-    let in_second = |from: &Sent| {
-        let within = |other: &&Sent| other.at >= from.at && other.at.since(from.at) < 1_000;
+fn max_orders_per_second(sent: &[SentOrder]) -> usize {
+    let in_second = |from: &SentOrder| {
+        let within = |other: &&SentOrder| other.at >= from.at && other.at.since(from.at) < 1_000;
         sent.iter().filter(within).count()
     };
     sent.iter().map(in_second).max().unwrap_or(0)
 }
 
 #[test_case(2_000; "for two seconds")]
-#[test_case(FOR_EVER_MS; "for ever")]
-fn every_task_runs_though_a_worker_takes_no_order(time_ms: u64) {
-    let mut site = site_with_a_shut_worker(time_ms);
-    let took_ms = site.play_until_done(1..13, 60_000);
-    assert!(took_ms <= longest_doubt_ms() + 2_500, "{took_ms}");
-    assert_eq!(site.twice, []);
+#[test_case(FOREVER_MS; "for ever")]
+fn every_task_completes_although_a_worker_accepts_no_orders(time_ms: u64) {
+    let mut simulation = simulation_with_unresponsive_worker(time_ms);
+    let took_ms = simulation.run_until_done(1..13, 60_000);
+    assert!(took_ms <= max_doubt_ms() + 2_500, "{took_ms}");
+    assert_eq!(simulation.ran_concurrently, []);
 }
 
 #[test_case(2_000; "for two seconds")]
-#[test_case(FOR_EVER_MS; "for ever")]
+#[test_case(FOREVER_MS; "for ever")]
 fn no_order_is_repeated_within_milliseconds(time_ms: u64) {
-    let mut site = site_with_a_shut_worker(time_ms);
-    site.play(20_000);
-    let shortest_ms = shortest_gap_ms(&site.sent_to(0));
+    let mut simulation = simulation_with_unresponsive_worker(time_ms);
+    simulation.run_for(20_000);
+    let shortest_ms = shortest_gap_ms(&simulation.sent_to(0));
     let bound_ms = Options::default().order_retry_ms / 2;
     assert!(shortest_ms >= bound_ms, "{shortest_ms}");
 }
 
 #[test]
-fn what_a_shut_worker_is_sent_does_not_grow_with_the_tasks() {
+fn orders_to_an_unresponsive_worker_do_not_grow_with_the_number_of_tasks() {
     for tasks in [5, 100] {
-        let mut site = Site::new(3, 100);
-        site.shut(0, FOR_EVER_MS);
-        site.submit(1..tasks + 1);
-        site.play(2_000);
-        site.submit(200..200 + tasks);
-        site.play(30_000);
-        let sent = site.sent_to(0);
+        let mut simulation = Simulation::new(3, 100);
+        simulation.reset_orders(0, FOREVER_MS);
+        simulation.submit(1..tasks + 1);
+        simulation.run_for(2_000);
+        simulation.submit(200..200 + tasks);
+        simulation.run_for(30_000);
+        let sent = simulation.sent_to(0);
         let starts = sent.iter().filter(|sent| sent.is_start).count();
         assert!(starts <= 24, "{starts} starts, {tasks} tasks");
         let later: Vec<_> = sent.into_iter().filter(|s| s.at.0 > 3_000).collect();
-        assert!(most_a_second(&later) <= 3, "{tasks} tasks");
+        assert!(max_orders_per_second(&later) <= 3, "{tasks} tasks");
     }
 }
 
 #[test]
-fn a_worker_that_takes_no_order_gets_no_other_task_until_it_has_taken_one() {
-    let mut site = Site::new(3, 100);
-    site.shut(0, FOR_EVER_MS);
-    site.submit(1..13);
-    site.play(1_500);
-    let before = site.sent_to(0);
-    site.submit(20..40);
-    site.play(1_500);
-    let is_new = |sent: &&Sent| sent.task.step.job.0 >= 20;
+fn a_worker_that_accepts_no_orders_gets_no_new_tasks_until_it_accepts_one() {
+    let mut simulation = Simulation::new(3, 100);
+    simulation.reset_orders(0, FOREVER_MS);
+    simulation.submit(1..13);
+    simulation.run_for(1_500);
+    let before = simulation.sent_to(0);
+    simulation.submit(20..40);
+    simulation.run_for(1_500);
+    let is_new = |sent: &&SentOrder| sent.task.step.job.0 >= 20;
     assert!(!before.is_empty());
-    assert_eq!(site.sent_to(0).iter().filter(is_new).count(), 0);
-    site.shut(0, 0);
-    site.play(3_000);
-    site.submit(40..60);
-    site.play(1_500);
-    let is_newer = |sent: &&Sent| sent.task.step.job.0 >= 40;
-    assert!(site.sent_to(0).iter().filter(is_newer).count() > 0);
+    assert_eq!(simulation.sent_to(0).iter().filter(is_new).count(), 0);
+    simulation.reset_orders(0, 0);
+    simulation.run_for(3_000);
+    simulation.submit(40..60);
+    simulation.run_for(1_500);
+    let is_newer = |sent: &&SentOrder| sent.task.step.job.0 >= 40;
+    assert!(simulation.sent_to(0).iter().filter(is_newer).count() > 0);
 }
 
 #[test]
-fn a_worker_whose_lease_was_let_lapse_is_used_again_once_it_takes_orders() {
-    let mut site = site_with_a_shut_worker(30_000);
-    site.play(35_000);
-    site.submit(20..32);
-    site.play(100);
-    let sent = site.sent_to(0);
+fn a_worker_whose_lease_was_let_lapse_is_used_again_once_it_accepts_orders() {
+    let mut simulation = simulation_with_unresponsive_worker(30_000);
+    simulation.run_for(35_000);
+    simulation.submit(20..32);
+    simulation.run_for(100);
+    let sent = simulation.sent_to(0);
     assert!(sent.iter().any(|sent| sent.task.step.job.0 >= 20));
-    site.play_until_done(20..32, 10_000);
-    assert_eq!(site.twice, []);
+    simulation.run_until_done(20..32, 10_000);
+    assert_eq!(simulation.ran_concurrently, []);
 }
 
 #[test]
-fn what_else_runs_there_runs_again_elsewhere_and_never_twice_at_a_time() {
-    let mut site = Site::new(3, 4);
-    site.work_ms = 12_000;
-    site.submit(1..7);
-    site.play(500);
-    site.shut(0, FOR_EVER_MS);
-    site.submit(7..13);
-    let took_ms = site.play_until_done(1..13, 90_000);
-    assert!(took_ms < longest_doubt_ms() + 4 * 12_000, "{took_ms}");
-    assert_eq!(site.twice, []);
+fn running_tasks_of_a_lapsed_worker_restart_elsewhere_without_overlap() {
+    let mut simulation = Simulation::new(3, 4);
+    simulation.work_ms = 12_000;
+    simulation.submit(1..7);
+    simulation.run_for(500);
+    simulation.reset_orders(0, FOREVER_MS);
+    simulation.submit(7..13);
+    let took_ms = simulation.run_until_done(1..13, 90_000);
+    assert!(took_ms < max_doubt_ms() + 4 * 12_000, "{took_ms}");
+    assert_eq!(simulation.ran_concurrently, []);
 }
 
 /// Two workers, each with one task of a step of which so many may be missing, and with a start that it did not take.
-fn serving_workers_in_doubt(unavailable_limit: u32) -> (Driver, Vec<StartOrder>) {
+fn workers_with_unanswered_starts(unavailable_limit: u32) -> (Driver, Vec<StartOrder>) {
     let mut driver = Driver::new(2, 4);
     let lasting = StepSpec {
         long_running: true,
@@ -156,7 +156,7 @@
 }
 
 /// Lets time pass while the workers answer renewals, serve, and take no order.
-fn pass_without_orders(driver: &mut Driver, serving: &[StartOrder], time_ms: u64) {
+fn pass_ignoring_orders(driver: &mut Driver, serving: &[StartOrder], time_ms: u64) {
     for _ in 0..time_ms / 100 {
         driver.pass(100);
         driver.renew_leases();
@@ -178,7 +178,7 @@
     }
 }
 
-fn lapsing(driver: &Driver) -> usize {
+fn count_lapsing(driver: &Driver) -> usize {
     let may_renew = |key: &&_| !driver.scheduler.may_renew(**key);
     driver.workers.iter().filter(may_renew).count()
 }
@@ -186,30 +186,33 @@
 #[test_case(0, 0; "none may be missing")]
 #[test_case(1, 1; "one may be missing")]
 #[test_case(2, 2; "both may be missing")]
-fn leases_are_let_lapse_as_far_as_what_serves_there_may_be_missing(limit: u32, expected: usize) {
-    let (mut driver, serving) = serving_workers_in_doubt(limit);
+fn leases_are_let_lapse_only_within_the_unavailable_limit(limit: u32, expected: usize) {
+    let (mut driver, serving) = workers_with_unanswered_starts(limit);
     let limit_ms = Options::default().doubt_limit_ms;
-    pass_without_orders(&mut driver, &serving, 2 * limit_ms);
-    assert_eq!(lapsing(&driver), expected);
+    pass_ignoring_orders(&mut driver, &serving, 2 * limit_ms);
+    assert_eq!(count_lapsing(&driver), expected);
 }
 
 #[test]
-fn what_is_believed_of_it_is_told_once_on_each_change() {
-    let mut site = site_with_a_shut_worker(2_000);
-    site.play(8_000);
-    assert_eq!(site.beliefs_of(0), ["takes_no_orders", "takes_orders"]);
-    assert_eq!(site.beliefs_of(1), Vec::<&str>::new());
-    let mut site = site_with_a_shut_worker(FOR_EVER_MS);
-    site.play(40_000);
+fn each_change_of_belief_about_a_worker_is_reported_once() {
+    let mut simulation = simulation_with_unresponsive_worker(2_000);
+    simulation.run_for(8_000);
     assert_eq!(
-        site.beliefs_of(0),
+        simulation.beliefs_of(0),
+        ["takes_no_orders", "takes_orders"]
+    );
+    assert_eq!(simulation.beliefs_of(1), Vec::<&str>::new());
+    let mut simulation = simulation_with_unresponsive_worker(FOREVER_MS);
+    simulation.run_for(40_000);
+    assert_eq!(
+        simulation.beliefs_of(0),
         ["takes_no_orders", "lease_let_lapse", "lease_renewed"]
     );
 }
 
 /// Many steps become ready at once after a takeover, and the first worker to answer has room for all of them.
 #[test]
-fn no_worker_is_given_more_than_it_takes_in() {
+fn unanswered_starts_per_worker_are_limited() {
     for (mut driver, most) in [
         (Driver::untried(3, 100), 2),
         (Driver::new(3, 100), STARTS_IN_FLIGHT),
@@ -225,7 +228,7 @@
 }
 
 #[test]
-fn sound_workers_are_given_all_that_they_have_room_for_within_a_few_answers() {
+fn healthy_workers_are_filled_within_a_few_rounds_of_answers() {
     let mut driver = Driver::untried(3, 100);
     driver.submit(1, policy(0), vec![step(200, 1)]);
     let mut started = 0;
@@ -240,7 +243,7 @@
 }
 
 #[test]
-fn room_that_waits_for_answers_is_neither_reserved_nor_made_free() {
+fn a_worker_at_its_unanswered_start_limit_causes_no_preemption() {
     let mut driver = Driver::new(1, 40);
     let patient = StepSpec {
         checkpointed: true,
@@ -265,7 +268,7 @@
 }
 
 #[test]
-fn an_urgent_task_does_not_wait_for_room_where_orders_are_not_taken() {
+fn an_urgent_task_does_not_wait_for_an_unresponsive_worker() {
     let mut driver = Driver::new(2, 4);
     driver.pass(10);
     driver.submit(1, policy(0), vec![step(3, 1)]);
@@ -291,7 +294,7 @@
 
 /// On a day when four of ten orders go without an answer, workers are still of use.
 #[test]
-fn a_worker_that_leaves_some_orders_unanswered_goes_on_getting_tasks() {
+fn a_worker_that_loses_some_orders_still_gets_tasks() {
     let mut driver = Driver::new(1, 64);
     driver.submit(1, policy(0), vec![step(40, 1)]);
     for _ in 0..20 {
@@ -325,7 +328,7 @@
 }
 
 #[test]
-fn a_start_that_never_left_goes_elsewhere_at_once() {
+fn an_unsent_start_goes_elsewhere_at_once() {
     let mut driver = Driver::new(2, 2);
     driver.submit(1, policy(0), vec![step(1, 2)]);
     driver.schedule();
@@ -340,7 +343,7 @@
 
 /// Others were under way for too long: what the node itself held back says nothing of the worker.
 #[test]
-fn starts_that_never_left_say_nothing_of_their_worker() {
+fn unsent_starts_do_not_count_against_their_worker() {
     let mut driver = Driver::new(1, 8);
     driver.pass(10);
     driver.submit(1, policy(0), vec![step(8, 1)]);
@@ -357,7 +360,7 @@
 }
 
 #[test]
-fn a_repeat_that_never_left_leaves_its_start_in_doubt() {
+fn an_unsent_retry_leaves_the_start_in_doubt() {
     let mut driver = Driver::new(2, 2);
     driver.submit(1, policy(0), vec![step(1, 2)]);
     driver.schedule();
@@ -375,7 +378,7 @@
 }
 
 #[test]
-fn a_start_that_never_left_and_is_being_stopped_is_over() {
+fn an_unsent_start_that_is_being_stopped_has_ended() {
     let mut driver = Driver::new(1, 2);
     driver.submit(1, policy(0), vec![step(1, 2)]);
     driver.schedule();
@@ -387,7 +390,7 @@
 
 /// An earlier copy may be carried out late though a later one was refused, also where a stop came in between.
 #[test]
-fn a_refusal_after_a_stop_does_not_end_a_run_of_which_an_earlier_copy_is_under_way() {
+fn a_refused_retry_does_not_end_a_stopping_run_whose_first_start_may_arrive() {
     let mut driver = Driver::new(1, 2);
     driver.submit(1, policy(0), vec![step(1, 2)]);
     driver.schedule();
--- a/crates/sched/tests/overload/main.rs
+++ b/crates/sched/tests/overload/main.rs
@@ -17,11 +17,11 @@
 
 /// No look at the waiting tasks, a third of the nodes that ask for advice away, and nearly twice the urgent
 /// load, for five seconds.
-const STANDSTILL: Disruption = Disruption {
+const OUTAGE: Disruption = Disruption {
     from_ms: 15_000,
     until_ms: 20_000,
-    advisers_away: 10,
-    surge: 1.9,
+    absent_advisers: 10,
+    urgent_load_factor: 1.9,
 };
 
 /// Load of the calm days, in hundredths of what the workers hold.
@@ -35,13 +35,13 @@
 
 #[test_case(1, None; "calm")]
 #[test_case(2, None; "calm, other jobs")]
-#[test_case(1, Some(STANDSTILL); "after a standstill")]
-#[test_case(2, Some(STANDSTILL); "after a standstill, other jobs")]
-fn each_kind_is_served_near_what_the_workers_hold(seed: u64, disruption: Option<Disruption>) {
+#[test_case(1, Some(OUTAGE); "after a standstill")]
+#[test_case(2, Some(OUTAGE); "after a standstill, other jobs")]
+fn each_kind_meets_its_objective_near_capacity(seed: u64, disruption: Option<Disruption>) {
     let setup = Setup::large();
     let until_ms = setup.load_until_ms;
     let mut replay = Replay::new(seed, setup, disruption);
-    replay.play();
+    replay.run();
     assert_eq!(replay.faults(), []);
     let served = [GANGS, BATCH, LOOKUPS].map(|kind| replay.served(kind, SERVED_FROM_MS, until_ms));
     let [gangs, batch, lookups] = served;
@@ -52,18 +52,18 @@
 
 /// A look that worked out whom to ask about each waiting step would hold up the scheduler.
 #[test]
-fn a_look_works_out_whom_to_ask_only_while_a_call_can_be_made() {
+fn a_pass_selects_workers_for_advice_only_while_calls_are_available() {
     let setup = Setup {
-        load_until_ms: STANDSTILL.until_ms,
+        load_until_ms: OUTAGE.until_ms,
         ..Setup::large()
     };
     let workers = setup.workers;
-    let mut replay = Replay::new(1, setup, Some(STANDSTILL));
-    replay.play_until(STANDSTILL.until_ms);
+    let mut replay = Replay::new(1, setup, Some(OUTAGE));
+    replay.run_until(OUTAGE.until_ms);
     let waiting = replay.waiting_tasks();
     assert!(waiting > 4_000, "{waiting} tasks wait");
     let before = replay.examined_workers();
-    replay.look();
+    replay.schedule();
     let examined = replay.examined_workers() - before;
     let calls = 100;
     assert!(
@@ -76,14 +76,14 @@
 /// too old when the last came, and the widest gangs waited for ever.
 #[test_case(1; "some jobs")]
 #[test_case(2; "other jobs")]
-fn the_largest_gangs_are_served_like_the_others(seed: u64) {
+fn the_largest_gangs_meet_their_objective_like_the_others(seed: u64) {
     let setup = Setup::wide(CALM_PERCENT);
     let until_ms = setup.load_until_ms;
     let mut replay = Replay::new(seed, setup, None);
-    replay.play();
+    replay.run();
     assert_eq!(replay.faults(), []);
     let all = replay.served(GANGS, CALM_FROM_MS, until_ms);
-    let largest = replay.largest_served(GANGS, CALM_FROM_MS, until_ms);
+    let largest = replay.served_of_largest(GANGS, CALM_FROM_MS, until_ms);
     assert!(
         all >= 0.93 && largest >= 0.9 * all,
         "{all:.2}, largest {largest:.2}"
@@ -93,20 +93,20 @@
 /// How each kind is served at more load than room, and what is stopped for it.
 #[test]
 #[ignore = "prints a curve, and takes minutes"]
-fn curve_by_load() {
+fn print_service_by_load() {
     for load_percent in [CALM_PERCENT, 100, 113, 130, 150] {
         let setup = Setup::wide(load_percent);
         let until_ms = setup.load_until_ms;
         let mut replay = Replay::new(1, setup, None);
-        replay.play();
+        replay.run();
         let kinds = [GANGS, BATCH, LOOKUPS];
         let served = kinds.map(|kind| replay.served(kind, CALM_FROM_MS, until_ms));
-        let largest = kinds.map(|kind| replay.largest_served(kind, CALM_FROM_MS, until_ms));
+        let largest = kinds.map(|kind| replay.served_of_largest(kind, CALM_FROM_MS, until_ms));
         let preemptions = replay.preemptions();
         println!(
             "{load_percent}%: gangs, batch, lookups {served:.2?}, largest {largest:.2?}, \
              {} of {} runs stopped, {} of one task",
-            preemptions.stops, preemptions.starts, preemptions.most_of_a_task
+            preemptions.stops, preemptions.starts, preemptions.max_per_task
         );
     }
 }
