--- a/crates/sched/tests/overload/replay.rs
+++ b/crates/sched/tests/overload/replay.rs
@@ -70,7 +70,7 @@
 
 /// How a job went.
 #[derive(Debug, Clone, Copy)]
-struct Course {
+struct JobRecord {
     kind: usize,
     accepted_at: Millis,
     objective_ms: u64,
@@ -79,8 +79,8 @@
     ended_after_ms: Option<u64>,
 }
 
-impl Course {
-    fn is_met(&self) -> bool {
+impl JobRecord {
+    fn met_objective(&self) -> bool {
         let ended = self.ended_after_ms;
         ended.is_some_and(|after_ms| after_ms <= self.objective_ms)
     }
@@ -96,11 +96,11 @@
     advisers: Advisers,
     advice: AdviceModel,
     sessions: BTreeMap<WorkerKey, (WorkerId, Millis)>,
-    touched: BTreeSet<WorkerKey>,
+    stop_sent: BTreeSet<WorkerKey>,
     deliveries: BTreeMap<(Millis, u64), Delivery>,
     sent: u64,
-    jobs: BTreeMap<JobId, Course>,
-    due: Vec<f64>,
+    jobs: BTreeMap<JobId, JobRecord>,
+    due_jobs: Vec<f64>,
     starts: u64,
     /// Tasks that were stopped for more urgent work, and how often each was.
     preempted: BTreeMap<TaskId, u32>,
@@ -114,7 +114,7 @@
     /// Runs of them that were stopped.
     pub stops: u64,
     /// Most often that one task was.
-    pub most_of_a_task: u32,
+    pub max_per_task: u32,
 }
 
 impl Replay {
@@ -122,7 +122,7 @@
         let now = Millis(1_000);
         let mut replay = Self {
             rng: SmallRng::seed_from_u64(seed),
-            due: vec![0.0; setup.kinds.len()],
+            due_jobs: vec![0.0; setup.kinds.len()],
             setup,
             disruption,
             now,
@@ -131,7 +131,7 @@
             advisers: Advisers::with_own(SmolStr::new_static("node-00"), now),
             advice: AdviceModel::default(),
             sessions: BTreeMap::new(),
-            touched: BTreeSet::new(),
+            stop_sent: BTreeSet::new(),
             deliveries: BTreeMap::new(),
             sent: 0,
             jobs: BTreeMap::new(),
@@ -161,57 +161,61 @@
     }
 
     /// Plays until all should be over.
-    pub fn play(&mut self) {
-        self.play_until(self.setup.end_ms);
+    pub fn run(&mut self) {
+        self.run_until(self.setup.end_ms);
     }
 
     /// Plays until a time.
-    pub fn play_until(&mut self, until_ms: u64) {
+    pub fn run_until(&mut self, until_ms: u64) {
         while self.now.0 < until_ms {
             self.now = self.now.plus(TICK_MS);
             self.fleet.advance(self.now);
-            self.meet_advisers();
-            self.bring_jobs();
+            self.refresh_advisers();
+            self.submit_jobs();
             self.deliver();
             self.renew();
             self.apply(Event::Ticked);
-            if self.disrupted().is_none() {
-                self.look();
+            if self.active_disruption().is_none() {
+                self.schedule();
             }
-            self.write();
+            self.write_records();
         }
     }
 
-    fn disrupted(&self) -> Option<Disruption> {
+    fn active_disruption(&self) -> Option<Disruption> {
         self.disruption
-            .filter(|trouble| (trouble.from_ms..trouble.until_ms).contains(&self.now.0))
+            .filter(|disruption| (disruption.from_ms..disruption.until_ms).contains(&self.now.0))
     }
 
-    fn meet_advisers(&mut self) {
-        let away = self.disrupted().map_or(0, |trouble| trouble.advisers_away);
+    fn refresh_advisers(&mut self) {
+        let away = self
+            .active_disruption()
+            .map_or(0, |disruption| disruption.absent_advisers);
         for number in 1..self.setup.advisers - away {
             self.advisers
                 .meet(&format_smolstr!("node-{number:02}"), self.now);
         }
     }
 
-    fn bring_jobs(&mut self) {
+    fn submit_jobs(&mut self) {
         if self.now.0 > self.setup.load_until_ms {
             return;
         }
-        let surge = self.disrupted().map_or(1.0, |trouble| trouble.surge);
+        let load_factor = self
+            .active_disruption()
+            .map_or(1.0, |disruption| disruption.urgent_load_factor);
         for index in 0..self.setup.kinds.len() {
             let kind = self.setup.kinds[index].clone();
-            let rate = if kind.priority == 0 { surge } else { 1.0 } * kind.jobs_per_s;
-            self.due[index] += rate * self.rng.random_range(0.0..=2.0) * TICK_S;
-            while self.due[index] >= 1.0 {
-                self.due[index] -= 1.0;
-                self.bring_job(index, &kind);
+            let rate = if kind.priority == 0 { load_factor } else { 1.0 } * kind.jobs_per_s;
+            self.due_jobs[index] += rate * self.rng.random_range(0.0..=2.0) * TICK_S;
+            while self.due_jobs[index] >= 1.0 {
+                self.due_jobs[index] -= 1.0;
+                self.submit_job(index, &kind);
             }
         }
     }
 
-    fn bring_job(&mut self, index: usize, kind: &RequestKind) {
+    fn submit_job(&mut self, index: usize, kind: &RequestKind) {
         let id = JobId(u64::try_from(self.jobs.len()).unwrap_or(0) + 1);
         let drawn = kind.draw(id, SERVICE, &mut self.rng);
         for (step, work_ms) in drawn.work_ms.iter().enumerate() {
@@ -229,14 +233,14 @@
             }
         }
         self.fleet.judge.submitted(drawn.spec.clone());
-        let course = Course {
+        let record = JobRecord {
             kind: index,
             accepted_at: self.now,
             objective_ms: objective_ms(kind, &drawn),
             core_ms: core_ms(&drawn),
             ended_after_ms: None,
         };
-        self.jobs.insert(id, course);
+        self.jobs.insert(id, record);
         let spec = Box::new(drawn.spec);
         self.apply(Event::JobStored { spec, age_ms: 0 });
     }
@@ -247,14 +251,14 @@
     }
 
     /// Looks at what waits.
-    pub fn look(&mut self) {
+    pub fn schedule(&mut self) {
         self.scheduler
             .set_advice_slots(self.advisers.slots(self.now));
         let actions = self.scheduler.schedule(self.now);
         self.perform(actions);
     }
 
-    fn write(&mut self) {
+    fn write_records(&mut self) {
         let records = self.scheduler.take_records(10_000, self.now, TimeOfDay(1));
         if records.is_empty() {
             return;
@@ -263,10 +267,10 @@
         let event = Event::Recorded {
             jobs: jobs.collect(),
         };
-        self.later(TICK_MS, Delivery::Event(event));
+        self.deliver_after(TICK_MS, Delivery::Event(event));
     }
 
-    fn later(&mut self, delay_ms: u64, delivery: Delivery) {
+    fn deliver_after(&mut self, delay_ms: u64, delivery: Delivery) {
         self.sent += 1;
         let at = self.now.plus(delay_ms);
         self.deliveries.insert((at, self.sent), delivery);
@@ -320,12 +324,12 @@
     fn renew(&mut self) {
         let mut due = Vec::new();
         for (key, (id, renew_at)) in &self.sessions {
-            let has_news = self.fleet.workers[id].has_ends() || self.touched.contains(key);
+            let has_news = self.fleet.workers[id].has_ends() || self.stop_sent.contains(key);
             if has_news || *renew_at <= self.now {
                 due.push((*key, id.clone()));
             }
         }
-        self.touched.clear();
+        self.stop_sent.clear();
         for (key, id) in due {
             let (acknowledged, _) = self.scheduler.acknowledged_ends(key);
             let renewal = Renewal {
@@ -376,8 +380,8 @@
                     after_ms,
                     ..
                 }) => {
-                    if let Some(course) = self.jobs.get_mut(&job) {
-                        course.ended_after_ms = Some(after_ms);
+                    if let Some(record) = self.jobs.get_mut(&job) {
+                        record.ended_after_ms = Some(after_ms);
                     }
                 }
                 _ => {}
@@ -407,7 +411,7 @@
             run: order.run,
             answer,
         };
-        self.later(1, Delivery::Event(event));
+        self.deliver_after(1, Delivery::Event(event));
     }
 
     fn send_stop(&mut self, worker: WorkerKey, task: TaskId, run: Run) {
@@ -418,14 +422,14 @@
             token: 1,
         };
         let taken = self.fleet.stop(&id, &command, self.now).is_ok();
-        self.touched.insert(worker);
+        self.stop_sent.insert(worker);
         let event = Event::StopAnswered {
             worker,
             task,
             run,
             taken,
         };
-        self.later(1, Delivery::Event(event));
+        self.deliver_after(1, Delivery::Event(event));
     }
 
     fn ask(&mut self, step: StepId, workers: Vec<WorkerKey>) {
@@ -450,35 +454,35 @@
             length,
             asked: workers,
         };
-        self.later(until.since(self.now) + 2, delivery);
+        self.deliver_after(until.since(self.now) + 2, delivery);
     }
 
     /// Returns the share of a kind's jobs, of those accepted in some time, that met their objective.
     pub fn served(&self, kind: usize, from_ms: u64, until_ms: u64) -> f64 {
         let mut accepted = 0;
         let mut met = 0;
-        for course in self.jobs.values() {
-            let in_time = (from_ms..until_ms).contains(&course.accepted_at.0);
-            if course.kind != kind || !in_time {
+        for record in self.jobs.values() {
+            let in_time = (from_ms..until_ms).contains(&record.accepted_at.0);
+            if record.kind != kind || !in_time {
                 continue;
             }
             accepted += 1;
-            met += u32::from(course.is_met());
+            met += u32::from(record.met_objective());
         }
         f64::from(met) / f64::from(accepted)
     }
 
     /// Returns the same for the largest tenth of a kind's jobs.
-    pub fn largest_served(&self, kind: usize, from_ms: u64, until_ms: u64) -> f64 {
-        let in_time = |course: &&Course| {
-            course.kind == kind && (from_ms..until_ms).contains(&course.accepted_at.0)
+    pub fn served_of_largest(&self, kind: usize, from_ms: u64, until_ms: u64) -> f64 {
+        let in_time = |record: &&JobRecord| {
+            record.kind == kind && (from_ms..until_ms).contains(&record.accepted_at.0)
         };
-        let mut courses: Vec<_> = self.jobs.values().filter(in_time).collect();
-        courses.sort_by_key(|course| std::cmp::Reverse(course.core_ms));
-        courses.truncate(courses.len().div_ceil(10));
-        let is_met = |course: &&&Course| course.is_met();
-        let met = u32::try_from(courses.iter().filter(is_met).count()).unwrap_or(0);
-        let all = u32::try_from(courses.len()).unwrap_or(1);
+        let mut records: Vec<_> = self.jobs.values().filter(in_time).collect();
+        records.sort_by_key(|record| std::cmp::Reverse(record.core_ms));
+        records.truncate(records.len().div_ceil(10));
+        let is_met = |record: &&&JobRecord| record.met_objective();
+        let met = u32::try_from(records.iter().filter(is_met).count()).unwrap_or(0);
+        let all = u32::try_from(records.len()).unwrap_or(1);
         f64::from(met) / f64::from(all)
     }
 
@@ -487,7 +491,7 @@
         Preemptions {
             starts: self.starts,
             stops: self.preempted.values().map(|times| u64::from(*times)).sum(),
-            most_of_a_task: self.preempted.values().copied().max().unwrap_or(0),
+            max_per_task: self.preempted.values().copied().max().unwrap_or(0),
         }
     }
 
--- a/crates/sched/tests/overload/setup.rs
+++ b/crates/sched/tests/overload/setup.rs
@@ -29,9 +29,9 @@
 pub struct Disruption {
     pub from_ms: u64,
     pub until_ms: u64,
-    pub advisers_away: u32,
+    pub absent_advisers: u32,
     /// Factor of the urgent load.
-    pub surge: f64,
+    pub urgent_load_factor: f64,
 }
 
 impl Setup {
