--- a/crates/sched/src/crash_history.rs
+++ b/crates/sched/src/crash_history.rs
@@ -1,4 +1,4 @@
-//! What a task is suspected of under which workers crashed, and which runs may still take their workers down.
+//! The worker crashes that a task is suspected of, and the probation of runs that may still crash their workers.
 
 use syc_types::Millis;
 use syc_types::WorkerId;
@@ -10,48 +10,48 @@
 use crate::worker::Worker;
 use crate::worker::WorkerRun;
 
-/// A run that its worker lists after this time did not take it down with its start.
+/// A run that its worker still reports after this time did not crash it by starting.
 const PROBATION_MS: u64 = 500;
 
-/// Where each run on a lost worker was there for longer than that, those that were there for less than this are
-/// suspected. A task that runs for longer is cleared of what it was suspected of.
+/// If all runs on a lost worker had passed their probation, those that were there for less than this are suspected. A
+/// run that lasts longer clears its task of all suspicion.
 pub(crate) const RECENT_RUN_MS: u64 = 10_000;
 
-/// Workers that crash under a task before it is started only where nothing else can be blamed.
+/// After this many crashes under a task, it is started only isolated, so that nothing else can be the cause.
 const ISOLATE_AFTER_CRASHES: u32 = 2;
 
-/// Workers that crash under a task before it is given up.
+/// After this many crashes under a task, it is given up, if enough of them have it as the sole suspect.
 const GIVE_UP_AFTER_CRASHES: u32 = 3;
 
-/// Those of them for which nothing else could be blamed: workers also crash for reasons of their own.
+/// How many of these crashes must have the task as the sole suspect, since workers also crash for unrelated reasons.
 const GIVE_UP_AFTER_SOLE_CRASHES: u32 = 2;
 
-/// Workers that crash under a task before it is given up in any case. One that had been there for longer than its
-/// probation is given up only then: but for its start, it looks like one whose workers crash by themselves.
+/// After this many crashes under a task, it is given up in any case. A task under which a worker crashed after the
+/// probation is given up only then, because such a crash can't be told from one that has an unrelated reason.
 const CRASHES_LIMIT: u32 = 5;
 
-/// What a task is suspected of.
+/// The crashes that a task is suspected of.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct CrashHistory {
     pub(crate) count: CrashCount,
-    /// Longest time that it had been there when its worker went silent.
+    /// Longest time that a run had been confirmed when its worker went silent.
     longest_confirmed_ms: u64,
 }
 
-/// What a crash says of a task that was there.
+/// What a crash says about a task that was on the worker.
 #[derive(Debug, Clone)]
 pub(crate) struct Crash {
     pub(crate) worker: WorkerId,
-    /// Whether nothing else can be blamed.
+    /// Whether nothing else can be the cause.
     pub(crate) sole_suspect: bool,
-    /// Whether it had outlived its probation.
+    /// Whether the run had passed its probation.
     pub(crate) late: bool,
-    /// Time for which it had been there when the worker went silent.
+    /// For how long the run had been confirmed when the worker went silent.
     pub(crate) confirmed_ms: u64,
 }
 
 impl CrashHistory {
-    /// Returns what a predecessor wrote of a task.
+    /// Restores what a predecessor recorded about a task.
     pub(crate) const fn restored(count: CrashCount) -> Self {
         Self {
             count,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Counts a crash under it.
+    /// Adds a crash.
     pub(crate) fn add(&mut self, crash: &Crash) {
         self.count.workers += 1;
         self.count.alone += u32::from(crash.sole_suspect);
@@ -78,26 +78,26 @@
         workers >= CRASHES_LIMIT || is_certain && !late
     }
 
-    /// Returns the time after which a run of the task is no longer expected to take its worker down.
+    /// Returns the time after which a run of the task is no longer expected to crash its worker.
     fn probation_ms(self) -> u64 {
         PROBATION_MS.max(self.longest_confirmed_ms * 2)
     }
 }
 
-/// How long a run has to be there before it is no longer suspected, and what its task is suspected of.
+/// The probation of a run: how long it has to be there before it is no longer suspected.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Probation {
-    /// Workers that crashed under its task before.
+    /// Earlier crashes under its task.
     pub(crate) crashes: u32,
     pub(crate) limit_ms: u64,
-    /// Whether it has been there for that long.
+    /// Whether the run has passed it.
     pub(crate) is_over: bool,
-    /// Whether its task was suspected when it began.
+    /// Whether the task was suspected when the run began.
     pub(crate) began_suspected: bool,
 }
 
 impl Probation {
-    /// Begins that of a run of a task.
+    /// Begins the probation of a run of a task with this history.
     pub(crate) fn of(history: CrashHistory) -> Self {
         Self {
             crashes: history.count.workers,
@@ -109,7 +109,7 @@
 }
 
 impl Unit {
-    /// Returns what that of its members is suspected of that most workers crashed under.
+    /// Returns the history of the member with the most crashes.
     pub(crate) fn worst_crash_history(&self) -> CrashHistory {
         let worst = self
             .blames
@@ -118,24 +118,24 @@
         worst.copied().unwrap_or_default()
     }
 
-    /// Returns how many workers have crashed under one of its members at most.
+    /// Returns the largest number of crashes under any of its members.
     pub(crate) fn crashes(&self) -> u32 {
         self.worst_crash_history().count.workers
     }
 
-    /// Says whether it is to be started where nothing else can be blamed for a crash.
+    /// Returns whether it has to be started isolated, so that nothing else can be the cause of a crash.
     pub(crate) fn is_isolated(&self) -> bool {
         self.crashes() >= ISOLATE_AFTER_CRASHES
     }
 
-    /// Says whether it surely takes its workers down.
+    /// Returns whether it has caused enough crashes to be given up.
     pub(crate) fn exceeds_crash_limit(&self) -> bool {
         self.blames.values().any(|history| history.exceeds_limit())
     }
 }
 
 impl WorkerRun {
-    /// Says whether it may still take its worker down with its start.
+    /// Returns whether it may still crash its worker by starting.
     pub(crate) const fn is_on_probation(&self) -> bool {
         !self.probation.is_over
     }
@@ -144,37 +144,37 @@
         self.is_on_probation() && self.probation.crashes > 0
     }
 
-    /// Says whether nothing else is to be blamed for what it may still do.
+    /// Returns whether it has to stay isolated, so that nothing else can be the cause of a crash.
     pub(crate) fn is_isolated(&self) -> bool {
         self.is_on_probation() && self.probation.crashes >= ISOLATE_AFTER_CRASHES
     }
 
-    /// Returns for how long it has been there, as far as its worker has told.
+    /// Returns for how long it has been there, counted from when its worker confirmed it.
     pub(crate) fn confirmed_ms(&self, now: Millis) -> u64 {
         self.confirmed_at.map_or(0, |at| now.since(at))
     }
 }
 
 impl Worker {
-    /// Says whether some run may still take it down with its start.
+    /// Returns whether some run may still crash it by starting.
     pub(crate) fn has_run_on_probation(&self) -> bool {
         self.runs.values().any(WorkerRun::is_on_probation)
     }
 
-    /// Says whether some suspected run may still do so, or is about to be started.
+    /// Returns whether a suspected run may still crash it, or is about to be started on it.
     pub(crate) fn has_suspect(&self) -> bool {
         let may_include = self.suspected_runs > 0;
         self.reserved_suspects > 0 || may_include && self.runs.values().any(WorkerRun::is_suspected)
     }
 
-    /// Says whether it takes nothing else, so that nothing else can be blamed if it crashes.
+    /// Returns whether it takes no other starts, so that nothing else can be the cause of a crash.
     pub(crate) fn is_kept_clear(&self) -> bool {
         let may_include = self.suspected_runs > 0;
         self.reserved_isolations > 0
             || may_include && self.runs.values().any(WorkerRun::is_isolated)
     }
 
-    /// Returns the runs that may have taken it down.
+    /// Returns the runs that may have crashed it.
     pub(crate) fn crash_suspects(&self, silent_at: Millis) -> Vec<(TaskId, Run)> {
         let on_probation = self.runs_where(WorkerRun::is_on_probation);
         if on_probation.is_empty() {
--- a/crates/sched/src/headroom.rs
+++ b/crates/sched/src/headroom.rs
@@ -1,34 +1,34 @@
-//! Room that patient work leaves free for urgent work.
+//! Headroom for urgent work, which less urgent work leaves free.
 //!
-//! A full pool makes every urgent task wait until something was stopped for it, which takes a worker
-//! up to a second; a little free room lets most of them start at once.
+//! On full workers every urgent task has to wait for a preemption, which takes a worker up to a second. A little free
+//! room lets most of them start at once.
 
 use syc_types::Millis;
 
 use crate::Scheduler;
 use crate::ids::JobKey;
 
-/// Priority of urgent work.
+/// The priority of urgent work.
 const URGENT_PRIORITY: u32 = 0;
 
-/// Share of the urgent work's usual room that is left free, in hundredths.
+/// Share of the usual demand of urgent work that is left free, in percent.
 const LEVEL_PERCENT: u64 = 40;
 
-/// Most that is left free of all workers together, in hundredths.
+/// Upper limit of the headroom as a share of the total capacity, in percent.
 const CAPACITY_PERCENT: u64 = 7;
 
-/// Part of the way that the level moves to the present use each time that it is looked at, in
-/// hundredths: with a look every 100 ms it forgets within seconds.
+/// Smoothing factor in percent: the share of the current use in each update of the level. Updated every 100 ms, the
+/// level adapts within seconds.
 const SMOOTHING_PERCENT: u64 = 3;
 
-/// What urgent work uses, and what is free, in thousandths of a core.
+/// The demand of urgent work and the free capacity, in thousandths of a core.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Headroom {
-    /// Smoothed use of urgent work, in hundredths of the unit.
+    /// Moving average of the use by urgent work, in hundredths of the unit.
     level: u64,
-    /// Processor of all workers.
+    /// Total processor capacity of all workers.
     capacity: u64,
-    /// What is free on usable workers.
+    /// Processor time available on usable workers.
     free: u64,
 }
 
@@ -43,14 +43,14 @@
         }
     }
 
-    /// Takes note that free room was given away.
+    /// Deducts capacity that was given to a started run.
     pub(crate) const fn consume(&mut self, cpu_millis: u64) {
         self.free = self.free.saturating_sub(cpu_millis);
     }
 }
 
 impl Scheduler {
-    /// Looks at how much urgent work there is.
+    /// Updates the moving average of the use by urgent work.
     pub(crate) fn update_headroom_level(&mut self) {
         let mut used = 0;
         for worker in self.workers.values() {
@@ -64,7 +64,7 @@
         *level = (*level * (100 - SMOOTHING_PERCENT) + used * 100 * SMOOTHING_PERCENT) / 100;
     }
 
-    /// Adds up what is free before a look at the waiting tasks.
+    /// Measures the total and the available capacity at the beginning of a scheduling pass.
     pub(crate) fn measure_headroom(&mut self, now: Millis) {
         let mut capacity = 0;
         let mut free = 0;
@@ -78,8 +78,7 @@
         self.headroom.free = free;
     }
 
-    /// Says whether a patient task would use what is left for urgent work; one that fills what others
-    /// leave unused takes nothing of it.
+    /// Returns whether a task that is not urgent would use up headroom. Tasks that fill unused processor time do not.
     pub(crate) fn would_use_headroom(&self, job: JobKey, step: usize) -> bool {
         let job = &self.jobs[job];
         let spec = &job.steps[step].spec;
--- a/crates/sched/src/misdirected.rs
+++ b/crates/sched/src/misdirected.rs
@@ -1,7 +1,8 @@
-//! Workers that start again under their names: what was meant for the life before may have reached the next one.
+//! Workers that restart under the same name: orders meant for the previous incarnation may have reached the next one.
 //!
-//! Orders name the worker, not its life. What a life has listed ended with it. What it has not, the next life may run
-//! or may yet receive, so that it goes on holding room there until it has been stopped.
+//! Orders address the worker by name, not by incarnation. Runs that the old incarnation had reported ended with it. A
+//! run that it had not reported may be running on the next incarnation or may still arrive there, so it keeps
+//! occupying resources there until it has been stopped.
 
 use smol_str::SmolStr;
 use syc_types::Millis;
@@ -15,17 +16,17 @@
 use crate::job::UnitState;
 use crate::worker::WorkerRun;
 
-/// A run that may have reached a later life of its worker.
+/// A run that may have reached a later incarnation of its worker.
 #[derive(Debug, Clone)]
 pub(crate) struct MisdirectedRun {
-    /// The life that it was meant for.
+    /// The incarnation that the order was meant for.
     intended_worker: WorkerKey,
-    /// The name of the worker.
+    /// The name of the worker, without its incarnation.
     name: SmolStr,
     task: TaskId,
     run: Run,
     held: WorkerRun,
-    /// When it has surely ended, whatever the later life does.
+    /// When it has certainly ended, whatever the later incarnation does.
     ended_at: Millis,
 }
 
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Has runs stopped on the lives of their workers that they may have reached, as far as these are known.
+    /// Stops misdirected runs on the current incarnations of their workers, where these are registered.
     pub(crate) fn resolve_misdirected(&mut self, now: Millis) {
         for misdirected in std::mem::take(&mut self.misdirected) {
             let name = misdirected.name.as_str();
@@ -95,7 +96,7 @@
         self.stop_run(key, task, run, StopReason::StartInDoubt, now);
     }
 
-    /// Takes note that a member of a unit is on another life of its worker, if anywhere.
+    /// Records that a member of a unit is on another incarnation of its worker, if it is placed at all.
     fn reassign_member(&mut self, task: TaskId, run: Run, from: WorkerKey, to: WorkerKey) {
         let Some((job, step, unit, member)) = self.locate(task) else {
             return;
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Takes the runs as ended whose workers nobody has heard of again.
+    /// Treats runs as ended if no new incarnation of their worker appeared before the longest lease ended.
     pub(crate) fn expire_misdirected(&mut self, now: Millis) {
         let (over, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.misdirected)
             .into_iter()
@@ -154,7 +155,7 @@
 }
 
 impl WorkerRun {
-    /// Returns it as one of which nothing is known but that it may run.
+    /// Converts it to a run whose start is unconfirmed.
     fn into_unconfirmed(self, now: Millis) -> Self {
         Self {
             phase: crate::worker::Phase::Starting,
--- a/crates/sched/src/placement.rs
+++ b/crates/sched/src/placement.rs
@@ -1,4 +1,4 @@
-//! The look at all waiting tasks: in which order, and on which worker each starts.
+//! The scheduling pass over all waiting tasks: in which order they are considered, and on which worker each starts.
 
 use smol_str::SmolStr;
 use syc_types::Millis;
@@ -20,11 +20,11 @@
 use crate::worker::Worker;
 use crate::worker::WorkerRun;
 
-/// Most units for which running work is stopped in one look at a step.
+/// Maximum number of units of a step for which running work is preempted in one pass.
 const PREEMPTIONS_PER_PASS: u32 = 4;
 
 impl Scheduler {
-    /// Looks at every waiting task and returns what is to be done.
+    /// Runs a scheduling pass over every waiting task and returns the actions to perform.
     pub fn schedule(&mut self, now: Millis) -> Vec<Action> {
         self.measure_headroom(now);
         for (_urgency, job, step) in self.waiting_steps(now) {
@@ -63,7 +63,7 @@
                 self.start_unit(job, step, unit, &[worker], now);
                 continue;
             }
-            // There is room on workers whose next answer is awaited.
+            // A worker with enough capacity is expected to answer shortly, so nothing is preempted.
             if fitting.iter().any(|key| self.is_awaiting_answer(*key)) {
                 return;
             }
@@ -73,7 +73,8 @@
                 preemptions += 1;
                 continue;
             }
-            // What does not fit for one does not fit for the next, unless this one is choosy.
+            // Units of a step have the same needs, so if one does not fit, neither does the next, unless this one
+            // avoids workers on which it failed.
             if self.jobs[job].steps[step].units[unit].avoid.is_empty() {
                 break;
             }
@@ -83,13 +84,13 @@
         }
     }
 
-    /// Says whether a worker takes in no more before its next answer, which comes within moments.
+    /// Returns whether a worker accepts no more starts until its next answer, which is expected shortly.
     fn is_awaiting_answer(&self, key: WorkerKey) -> bool {
         let worker = &self.workers[key];
         !worker.may_take_start() && worker.contact.is_sound()
     }
 
-    /// Picks the worker that a task fits best, of those on which it fits and that take in more.
+    /// Picks the worker with the best fit among those that have room for the task and may be sent another start.
     fn pick_worker(
         &self,
         job: JobKey,
@@ -99,7 +100,7 @@
     ) -> Option<WorkerKey> {
         let spec = &self.jobs[job].steps[step].spec;
         let may_take_start = |key: &WorkerKey| self.workers[*key].may_take_start();
-        // One that is better is waited for.
+        // Workers about to answer are compared too, so that the task waits for a better one.
         let is_candidate = |key: &WorkerKey| may_take_start(key) || self.is_awaiting_answer(*key);
         let mut candidates: Vec<_> = fitting.iter().copied().filter(is_candidate).collect();
         let is_outside_rack =
@@ -119,7 +120,7 @@
         let is_latency_bound = spec.tail_limit_ms.is_some();
         candidates.into_iter().min_by_key(|key| {
             let worker = &self.workers[*key];
-            // Runs that serve disturb each other.
+            // Runs with a latency limit disturb each other, so they are spread over workers.
             let others = if is_latency_bound {
                 worker.latency_bound_runs()
             } else {
@@ -132,7 +133,7 @@
         })
     }
 
-    /// Returns those of the workers on which a unit's task fits and may run.
+    /// Returns the allowed workers that have room for a unit's task and may run it.
     fn fitting_workers(
         &self,
         job: JobKey,
@@ -150,7 +151,7 @@
             if !need.fits_in(&worker.available()) || avoid.contains(key) {
                 continue;
             }
-            // Were both started there, the next crash would not tell which of them it was.
+            // With two suspects on one worker, the next crash would not show which of them caused it.
             if is_suspected && worker.has_suspect() {
                 continue;
             }
@@ -161,7 +162,7 @@
         fitting
     }
 
-    /// Returns the workers that a unit does not go to for now, since it failed there.
+    /// Returns the workers that a unit avoids for now because it failed on them.
     pub(crate) fn avoided_workers(
         &self,
         job: JobKey,
@@ -177,8 +178,8 @@
         &of_step.units[unit].avoid
     }
 
-    /// Says whether a worker may run another task of a step: what runs there and what room is kept
-    /// there for other units both count.
+    /// Returns whether a worker may run another task of a step. Its runs and the reservations for other units both
+    /// count towards the limit.
     fn is_below_task_limit(
         &self,
         worker: WorkerKey,
@@ -201,7 +202,7 @@
         tasks < bound
     }
 
-    /// Stops less urgent work on one worker, and keeps the room for a unit.
+    /// Preempts less urgent runs on one worker and reserves the resources for a unit.
     fn preempt_for(
         &mut self,
         job: JobKey,
@@ -241,7 +242,7 @@
         true
     }
 
-    /// Keeps room for a unit.
+    /// Reserves resources for a unit.
     pub(crate) fn reserve(
         &mut self,
         job: JobKey,
@@ -270,13 +271,13 @@
         });
     }
 
-    /// Gives up the room that is kept for a unit.
+    /// Releases the reservation of a unit and retracts its announced placement.
     pub(crate) fn release_reservation(&mut self, job: JobKey, step: usize, unit: usize) {
         self.retract_announcement(Place { job, step, unit });
         self.drop_reservation(job, step, unit);
     }
 
-    /// Frees the room that is kept for a unit.
+    /// Releases the reservation of a unit, but keeps its announced placement.
     pub(crate) fn drop_reservation(&mut self, job: JobKey, step: usize, unit: usize) {
         let of_step = &mut self.jobs[job].steps[step];
         let need = of_step.spec.room();
@@ -292,7 +293,7 @@
         }
     }
 
-    /// Gives up all room that is kept for a job.
+    /// Releases all reservations of a job.
     pub(crate) fn release_reservations(&mut self, job: JobKey) {
         for step in 0..self.jobs[job].steps.len() {
             for unit in 0..self.jobs[job].steps[step].units.len() {
@@ -301,7 +302,7 @@
         }
     }
 
-    /// Says whether a worker on which room is kept may be sent what it is kept for.
+    /// Returns whether a worker may be sent the unit that it has a reservation for.
     pub(crate) fn may_use_reserved(&self, key: WorkerKey, isolated: bool, now: Millis) -> bool {
         self.workers.get(key).is_some_and(|worker| {
             if isolated {
@@ -346,7 +347,7 @@
         }
     }
 
-    /// Says whether a start of a step on a worker can carry what it needs.
+    /// Returns whether there is a ticket valid for long enough to start a task of a step on a worker, if it needs one.
     pub(crate) fn has_ticket(
         &self,
         job: JobKey,
@@ -363,7 +364,7 @@
         ticket.is_some_and(|ticket| ticket.valid_until >= valid_from)
     }
 
-    /// Starts a unit on workers, one for each member.
+    /// Starts a unit, each member on its own entry of `workers`.
     pub(crate) fn start_unit(
         &mut self,
         job_key: JobKey,
@@ -385,7 +386,7 @@
         let of_step = &self.jobs[job_key].steps[step_index];
         for member in 0..workers.len() {
             let task = of_step.task_at(id, unit_index, member);
-            // A run of it that is still being stopped somewhere: it must have ended first.
+            // An earlier run of the task is still being stopped on some worker and has to end first.
             if self.workers.values().any(|worker| worker.has_run_of(task)) {
                 return;
             }
@@ -439,14 +440,14 @@
     }
 }
 
-/// Runs that are to be stopped.
+/// The runs to stop in order to make room.
 type Victims = Vec<(TaskId, Run)>;
 
-/// Finds the fewest runs of less urgent, saved work that make room for `need`; none is an answer
-/// where nothing has to stop.
+/// Selects the fewest checkpointed runs of lower urgency whose end makes room for `need`. The result is empty if
+/// nothing has to stop.
 ///
-/// Members of gangs are left alone: with one of them the whole gang ends, and needs room on all its
-/// workers at once to go on: one task's room would cost a gang's work again and again.
+/// Members of gangs are never selected: stopping one ends the whole gang, which needs room on all its workers at once
+/// to continue. Making room for single tasks would cost a gang's work again and again.
 pub(crate) fn find_victims(worker: &Worker, need: &Resources, priority: u32) -> Option<Victims> {
     let mut candidates: Vec<_> = worker
         .runs
@@ -474,7 +475,8 @@
     rack.is_some_and(|rack| worker.spec.rack.as_str() != rack.as_str())
 }
 
-/// Returns what is left of a worker after a task, processor and memory together, in thousandths.
+/// Returns what remains of a worker after placing a task, as the sum of processor and memory in thousandths of its
+/// capacity.
 fn leftover_permille(worker: &Worker, room: &Resources, need: &Resources) -> u64 {
     let left = room.saturating_sub(need);
     let capacity = &worker.spec.capacity;
--- a/crates/sched/src/pools.rs
+++ b/crates/sched/src/pools.rs
@@ -1,4 +1,4 @@
-//! Pools on standby: VMs come to a service that lacks room for what waits, and go back when idle.
+//! Standby pools: VMs are moved to services that lack capacity for their waiting tasks, and returned when idle.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,45 +16,45 @@
 use crate::VmNote;
 use crate::VmState;
 
-/// A service that lacks room for this long gets VMs. A move takes longer than most bursts of small
-/// tasks, and is paid for.
+/// A service gets VMs after lacking capacity for this long. A move takes longer than most bursts of small tasks, and
+/// costs money.
 const SHORTAGE_MS: u64 = 1_000;
 
-/// A VM that came and was idle for this long goes back, where half of the service's room is free.
+/// A borrowed VM is returned after it was idle for this long while half of the service's capacity is available.
 const IDLE_MS: u64 = 10_000;
 
-/// VMs that are on their way at the same time.
+/// Maximum number of VMs that are being moved at the same time.
 const CONCURRENT_MOVES_LIMIT: usize = 6;
 
-/// A move that was done is seen in a list after this time at the latest; else it did not take place.
+/// A completed move shows up in a VM list within this time. Otherwise it did not take place.
 const MOVE_TIMEOUT_MS: u64 = 10_000;
 
-/// A VM on its way to a pool.
+/// A VM that is being moved to a pool.
 #[derive(Debug, Clone)]
 struct PendingMove {
     pool: ServiceName,
     ordered_at: Millis,
-    /// Whether an answer is awaited.
+    /// Whether the latest order is unanswered.
     awaiting_answer: bool,
-    /// When it was done.
+    /// When the platform reported the move as done.
     done_at: Option<Millis>,
 }
 
-/// What is known of services and their VMs.
+/// The state of services and their VMs.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Pools {
     standby: BTreeSet<ServiceName>,
-    /// Since when each service lacks room.
+    /// Since when each service has lacked capacity.
     lacking_since: BTreeMap<ServiceName, Millis>,
     pending_moves: BTreeMap<VmId, PendingMove>,
-    /// VMs that came from a pool on standby, and from which.
+    /// VMs borrowed from a standby pool, with that pool.
     borrowed: BTreeMap<VmId, ServiceName>,
     idle_since: BTreeMap<VmId, Millis>,
-    /// VMs that can't be in a pool.
+    /// VMs that can't be moved to a pool.
     unfit: BTreeSet<(VmId, ServiceName)>,
 }
 
-/// What a service asks for and has.
+/// The demand of a service, and the capacity of its workers.
 #[derive(Debug, Clone, Copy, Default)]
 struct Demand {
     waiting: Resources,
@@ -67,7 +67,7 @@
         self.pools.standby = services.into_iter().collect();
     }
 
-    /// Brings VMs to services that lack room, and sends idle ones back.
+    /// Moves VMs to services that lack capacity, and returns idle ones.
     pub(crate) fn balance_pools(&mut self, now: Millis) {
         if self.pools.standby.is_empty() || !self.recovery.is_settled() {
             return;
@@ -95,7 +95,7 @@
         self.retry_moves(now);
     }
 
-    /// Adds up what waits in each service, and what its workers have; VMs on their way count as free.
+    /// Sums up the waiting tasks and the capacity of each service. VMs being moved to it count as free.
     fn demands(&self, now: Millis) -> BTreeMap<ServiceName, Demand> {
         let mut demands: BTreeMap<ServiceName, Demand> = BTreeMap::new();
         for worker in self.workers.values() {
@@ -130,7 +130,7 @@
         demands
     }
 
-    /// Forgets the moves that the list shows, and those that did not take place.
+    /// Removes moves that the VM list confirms, and those that did not take place in time.
     fn finish_moves(&mut self, now: Millis) {
         let vms = &self.vms;
         self.pools.pending_moves.retain(|vm, pending| {
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Sends VMs back that came for a while and have nothing to do any more.
+    /// Returns borrowed VMs that have been idle for long enough.
     fn return_idle_vms(&mut self, demands: &BTreeMap<ServiceName, Demand>, now: Millis) {
         let borrowed: Vec<_> = self.pools.borrowed.clone().into_iter().collect();
         for (vm, home) in borrowed {
@@ -253,7 +253,7 @@
         }
     }
 
-    /// Takes the answer to an order that a VM goes to a pool.
+    /// Handles the answer to an order to move a VM to a pool.
     pub(crate) fn move_answered(
         &mut self,
         vm: &VmId,
--- a/crates/sched/src/predecessor_placement.rs
+++ b/crates/sched/src/predecessor_placement.rs
@@ -1,4 +1,5 @@
-//! Where the members of a unit are: as it is written for a successor, and as a predecessor wrote it.
+//! The workers on which the members of a unit are placed, as recorded for a successor and as restored from a
+//! predecessor.
 
 use syc_types::WorkerId;
 
@@ -8,23 +9,23 @@
 use crate::job::Unit;
 use crate::job::UnitState;
 
-/// The latest start of a unit by predecessors.
+/// The latest start of a unit by a previous scheduler.
 #[derive(Debug, Clone)]
 pub(crate) struct PredecessorPlacement {
-    /// Its number.
+    /// The number of that start.
     pub(crate) run: Run,
-    /// Workers of the members that are not known to have ended, by name.
+    /// Names of the workers whose members are not known to have ended, by member.
     pub(crate) workers: Vec<Option<WorkerId>>,
 }
 
 impl PredecessorPlacement {
-    /// Stands for a unit that no predecessor started.
+    /// The value for a unit that no predecessor started.
     pub(crate) const NONE: Self = Self {
         run: Run(0),
         workers: Vec::new(),
     };
 
-    /// Returns what a predecessor wrote of a unit.
+    /// Restores what a predecessor recorded about a unit.
     pub(crate) fn restored(kept: &UnitProgress) -> Self {
         let names = kept.workers.iter();
         let workers = names.map(|name| (!name.as_str().is_empty()).then(|| name.clone()));
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Takes note that a member's run has ended.
+    /// Records that a member's run has ended.
     pub(crate) fn mark_ended(&mut self, member: usize, run: Run) {
         if run == self.run
             && let Some(worker) = self.workers.get_mut(member)
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Takes note that a later start has ended.
+    /// Drops the recorded workers once a later start has ended.
     pub(crate) fn clear_if_older(&mut self, run: Run) {
         if run > self.run {
             self.workers.clear();
@@ -51,10 +52,10 @@
     }
 }
 
-/// Returns the names of the workers of the members that have not ended, each at its position.
+/// Returns the names of the workers whose members have not ended, by member.
 ///
-/// Of a gang that is being ended, the others count too: where one of their workers is lost, a successor has to know
-/// which task may have taken it down.
+/// While a gang is closing, the remaining members are included: if one of their workers is lost, a successor has to
+/// know which task may have crashed it.
 pub(crate) fn member_worker_names<N>(unit: &Unit, name_of: &N) -> Vec<WorkerId>
 where
     N: Fn(WorkerKey) -> Option<WorkerId>,
@@ -62,7 +63,7 @@
     let before = &unit.placed_before;
     let mut names: Vec<_> = match (&unit.state, &unit.reservation) {
         (UnitState::Placed { members, run } | UnitState::Closing { members, run, .. }, _) => {
-            // Of a predecessor's start, members that were not found may have taken their workers down.
+            // Members of a predecessor's start that were not found may have crashed their workers.
             let not_found = |member| {
                 let workers = before.workers.get(member).filter(|_| *run == before.run);
                 workers.cloned().flatten()
--- a/crates/sched/src/slowness.rs
+++ b/crates/sched/src/slowness.rs
@@ -1,8 +1,8 @@
-//! Workers that run slow while they look sound: found by how far their runs come beside others of the
-//! same step elsewhere, and gone round.
+//! Detection of workers that run slowly although they appear healthy, by comparing the progress of their runs with
+//! other tasks of the same step. Slow workers are quarantined for a while.
 //!
-//! Estimates are too rough to tell a slow worker from a long task. Tasks of one step are alike, so that
-//! one which takes three times as long as most of the others tells of its worker.
+//! Estimates are too imprecise to tell a slow worker from a long task. Tasks of one step are alike, so one that takes
+//! three times as long as most of the others indicates a slow worker.
 
 use std::collections::BTreeMap;
 
@@ -21,39 +21,38 @@
 use crate::worker::WorkerRun;
 use crate::worker::fit_count;
 
-/// A run says something after it has been listed for this long: reports come a little late.
+/// A run is considered only once it has been reported for this long, because reports arrive with some delay.
 const MIN_OBSERVATION_MS: u64 = 200;
 
-/// Tasks of the same step elsewhere that a run is compared with, at least.
+/// Minimum number of tasks of the same step on other workers to compare with.
 const MIN_PEERS: usize = 3;
 
-/// Tasks that a run is compared with, at most: they are sorted at each report, and a step may have 10,000.
+/// Maximum number of tasks to compare with. They are sorted on every report, and a step may have 10,000 tasks.
 const PEERS_LIMIT: usize = 64;
 
-/// A worker counts as slow from this factor on, in the geometric mean over its steps and one more with factor
-/// 1: the fewer steps say so, the more is asked of them.
+/// A worker counts as slow from this factor on. The factor is the geometric mean over its steps and one additional
+/// step with factor 1, which demands more evidence from fewer steps.
 const MIN_MEAN_FACTOR: f64 = 1.75;
 
-/// Each step has to show at least this factor: a slow worker is slow for all.
+/// Every step has to show at least this factor, since a slow worker is slow for all of them.
 const MIN_STEP_FACTOR: f64 = 1.7;
 
-/// A worker that is slow gets nothing new for this long: then a few runs show whether it still is.
+/// How long a slow worker gets no new work. After that, a few runs show whether it is still slow.
 const SLOW_QUARANTINE_MS: u64 = 4_000;
 
-/// At most this share of the workers is gone round as slow, in hundredths: where more seem so, it is
-/// something else.
+/// Maximum share of the workers that is quarantined as slow, in percent. If more appear slow, there is another cause.
 const SLOW_WORKERS_PERCENT_LIMIT: usize = 30;
 
-/// What a run that goes elsewhere loses at least, beside the stop: the new start, and what is restored.
+/// Minimum cost of moving a run besides the stop: the new start and the restore.
 const MOVE_COST_MS: u64 = 700;
 
-/// It moves only where it would end this much sooner, in hundredths of the time elsewhere.
+/// A run moves only if its remaining time here exceeds this percentage of the time elsewhere, including the move.
 const MIN_MOVE_GAIN_PERCENT: u64 = 120;
 
-/// A task is moved this often at most.
+/// Maximum number of moves per task.
 const MOVES_PER_TASK_LIMIT: u32 = 2;
 
-/// How slow a worker is, as a logarithm, and by how many steps.
+/// How slow a worker is, as the logarithm of a factor, and how many steps show it.
 #[derive(Debug, Clone, Copy)]
 struct Slowness {
     log: f64,
@@ -61,14 +60,14 @@
     least: (StepId, f64),
 }
 
-/// A run on a slow worker, and the time that it still needs there.
+/// A run with its projected total run time on its worker.
 #[derive(Debug, Clone, Copy)]
 struct RunProjection {
     task: TaskId,
     run: Run,
     place: Place,
     total_ms: u64,
-    /// What is left of it, and what of it would be elsewhere, in hundredths.
+    /// The share left to do on this worker, and on another one, in percent.
     left_percent: u64,
     elsewhere_percent: u64,
 }
@@ -79,7 +78,7 @@
     }
 }
 
-/// Judges by how much longer than elsewhere each step's tasks take whether a worker is slow.
+/// Decides whether a worker is slow from the factors (as logarithms) by which its steps are slower than elsewhere.
 fn slowness(steps: &BTreeMap<StepId, f64>) -> Option<Slowness> {
     let count = u32::try_from(steps.len()).unwrap_or(u32::MAX);
     let sum: f64 = steps.values().sum();
@@ -95,7 +94,7 @@
 }
 
 impl Step {
-    /// Returns the time that most tasks take, beside those at some positions; none where too few tell.
+    /// Returns the median run time of the tasks except some units, or `None` if too few are known.
     fn median_ms(&self, except: &[usize]) -> Option<u64> {
         let units = self.units.iter().enumerate();
         let elsewhere = units.filter(|(index, _)| !except.contains(index));
@@ -110,9 +109,9 @@
 }
 
 impl WorkerRun {
-    /// Returns the time that it takes as a whole at the speed seen so far; none while that is not
-    /// known, or says nothing of its worker: members of gangs go as slow as the slowest, what lasts
-    /// never ends, what fills gets what is left.
+    /// Returns its projected total run time at the speed seen so far. Returns `None` if that is unknown or does not
+    /// depend on the worker's speed: gang members are as slow as the slowest of them, long-running tasks never end,
+    /// and runs that fill unused processor time get whatever is left.
     fn total_ms(&self, now: Millis) -> Option<u64> {
         let (from, from_percent) = self.progress_baseline?;
         let elapsed_ms = now.since(from);
@@ -120,15 +119,15 @@
         if self.phase != Phase::Running || !is_comparable || elapsed_ms < MIN_OBSERVATION_MS {
             return None;
         }
-        // The next percent may be all but done.
+        // The next percent may be almost complete.
         let done = u64::from(self.percent.saturating_sub(from_percent)) + 1;
         Some(elapsed_ms * 100 / done)
     }
 }
 
 impl Scheduler {
-    /// Judges by its runs whether a worker is slow; if it is, nothing new goes there for a while, and what
-    /// is better off elsewhere moves.
+    /// Checks whether a worker is slow by the progress of its runs. If so, quarantines it for a while and moves runs
+    /// that would end sooner elsewhere.
     pub(crate) fn check_slowness(&mut self, key: WorkerKey, now: Millis) {
         let projections = self.update_projections(key, now);
         let mut steps: BTreeMap<StepId, Vec<RunProjection>> = BTreeMap::new();
@@ -154,7 +153,7 @@
         self.move_off_slow(key, &projections, now);
     }
 
-    /// Remembers how long each run of a worker takes, and returns it.
+    /// Records the projected run time of each run on a worker, and returns the projections.
     fn update_projections(&mut self, key: WorkerKey, now: Millis) -> Vec<RunProjection> {
         let mut projections = Vec::new();
         for ((task, run), held) in &self.workers[key].runs {
@@ -180,13 +179,13 @@
         projections
     }
 
-    /// Returns how much longer tasks of a step take on a worker than elsewhere, as a logarithm; the
-    /// fastest counts, since a slow worker is slow for all.
+    /// Returns the factor, as a logarithm, by which tasks of a step are slower on a worker than elsewhere. The fastest
+    /// task counts, since a slow worker is slow for all of them.
     fn step_slowness(&self, projections: &[RunProjection]) -> Option<f64> {
         let place = projections.first()?.place;
         let of_step = &self.jobs[place.job].steps[place.step];
         if of_step.spec.data_rack.is_some() {
-            // How long a task takes depends on where it is.
+            // The run time depends on the rack that the task runs in.
             return None;
         }
         let here: Vec<_> = projections
@@ -201,7 +200,7 @@
         Some((to_f64(fastest_ms) / to_f64(median_ms.max(1))).ln())
     }
 
-    /// Gives a slow worker nothing new for a while.
+    /// Quarantines a slow worker for a while.
     fn quarantine_slow(&mut self, key: WorkerKey, slowness: Slowness, now: Millis) {
         let worker = &mut self.workers[key];
         let until = now.plus(SLOW_QUARANTINE_MS);
@@ -220,14 +219,14 @@
         }
     }
 
-    /// Says whether so many other workers are gone round as slow that it must be something else.
+    /// Returns whether so many other workers are quarantined as slow that there must be another cause.
     fn too_many_slow(&self, key: WorkerKey, now: Millis) -> bool {
         let others = self.workers.iter().filter(|(other, _)| *other != key);
         let slow = others.filter(|(_, worker)| worker.slow_until > now).count();
         slow * 100 >= self.workers.len() * SLOW_WORKERS_PERCENT_LIMIT
     }
 
-    /// Stops what would end sooner elsewhere, as far as there is room.
+    /// Stops runs that would end sooner elsewhere, as far as other workers have room for them.
     fn move_off_slow(&mut self, key: WorkerKey, projections: &[RunProjection], now: Millis) {
         for projection in projections {
             let cost_ms = self.elsewhere_ms(projection) + self.options.stop_ms + MOVE_COST_MS;
@@ -239,7 +238,7 @@
         }
     }
 
-    /// Returns the time that the rest of a run should take on another worker.
+    /// Returns the expected time for the rest of a run on another worker.
     fn elsewhere_ms(&self, projection: &RunProjection) -> u64 {
         let Place { job, step, unit } = projection.place;
         let of_step = &self.jobs[job].steps[step];
@@ -248,7 +247,7 @@
         total_ms * projection.elsewhere_percent / 100
     }
 
-    /// Says whether a task may move once more, and others have room for it.
+    /// Counts a move of a task if it may move once more and another worker has room for it. Returns whether it did.
     fn try_take_move(&mut self, place: Place, from: WorkerKey, now: Millis) -> bool {
         let Place { job, step, .. } = place;
         let of_step = &self.jobs[job].steps[step];
@@ -266,7 +265,7 @@
     }
 }
 
-/// Returns a factor in hundredths.
+/// Converts the logarithm of a factor to a percentage.
 fn percent_of(log: f64) -> u64 {
     let factor = std::time::Duration::from_secs(100).mul_f64(log.exp().clamp(0.0, 1_000.0));
     factor.as_secs()
--- a/crates/sched/src/stale_capacity.rs
+++ b/crates/sched/src/stale_capacity.rs
@@ -1,8 +1,9 @@
-//! Workers that may have less room than they told last.
+//! Workers whose capacity may be lower than last reported.
 //!
-//! A worker tells what it has where workers register, and its room may shrink while it is cut off. After a long silence
-//! it gets nothing new before it is known what it has now. A registration is written again only where something in it
-//! is new, and lapses where the worker tells nothing: so one that is still there after a time says what holds.
+//! A worker reports its capacity when it registers, and the capacity may shrink while the worker is cut off. After a
+//! long silence it therefore gets no new starts until its current capacity is known. A registration is only rewritten
+//! when its content changes, and it expires when the worker stops refreshing it. So a registration that is still
+//! present after a while confirms the recorded capacity.
 
 use syc_types::Millis;
 
@@ -11,29 +12,29 @@
 use crate::reports::belief;
 use crate::worker::Worker;
 
-/// Most of the time between two reads in which registrations are taken to lapse: for longer, the store may have been
-/// away, and they outlast a worker that tells nothing.
+/// Maximum time between two reads that counts towards the expiry of registrations. After a longer gap the store may
+/// have been unavailable, in which case registrations outlive a worker that stopped refreshing them.
 const BETWEEN_READS_MS: u64 = 1_500;
 
-/// How far the registrations of workers have been read.
+/// Progress of the reads of worker registrations.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct RegistrationReads {
-    /// When those were asked for that were read last.
+    /// When the latest completed read was requested.
     asked_at: Millis,
-    /// Time in which they could be read so far.
+    /// Total time so far during which registrations could be read.
     readable_ms: u64,
 }
 
-/// A doubt about the room of a worker.
+/// State of a worker whose capacity may be lower than recorded.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct StaleCapacity {
     since: Millis,
-    /// Time in which registrations could be read until the first read that was asked for since.
+    /// Value of `readable_ms` at the first read that was requested after `since`.
     read_from_ms: Option<u64>,
 }
 
 impl StaleCapacity {
-    /// Takes note of a read that found the worker registered. Says whether the doubt is over.
+    /// Records a read that found the worker registered. Returns whether this confirms the recorded capacity.
     fn is_refreshed_by(&mut self, read: RegistrationReads, told_within_ms: u64) -> bool {
         if read.asked_at < self.since {
             return false;
@@ -44,7 +45,7 @@
 }
 
 impl Scheduler {
-    /// Doubts what a worker has that has just answered again, where it was silent for long.
+    /// Marks the capacity of a worker as stale if it has just answered again after a long silence.
     pub(crate) fn mark_capacity_stale(&mut self, key: WorkerKey, now: Millis) {
         let limit_ms = self.options.room_told_ms;
         let worker = &mut self.workers[key];
@@ -59,9 +60,10 @@
         self.actions.push(note);
     }
 
-    /// Takes note that all that was told where workers register before a time has been read.
+    /// Records that all registrations made before `asked_at` have been read.
     ///
-    /// Without an end of its own, the doubt about a worker with nothing new to tell kept all work from it for good.
+    /// A worker whose registration does not change never writes it again, so without this a stale capacity would keep
+    /// new work from it forever.
     pub(crate) fn workers_read(&mut self, asked_at: Millis, now: Millis) {
         let registrations = &mut self.registrations;
         let between_ms = asked_at.since(registrations.asked_at);
@@ -83,9 +85,9 @@
 }
 
 impl Worker {
-    /// Says whether its room may have shrunk in a silence that has just ended without being told.
+    /// Returns whether its capacity may have shrunk, unreported, during a silence that has just ended.
     fn capacity_may_be_stale(&self, limit_ms: u64, now: Millis) -> bool {
-        // How old the entry was that a new scheduler found, it does not know.
+        // A new scheduler does not know the age of the registration that it found.
         let was_long_silence = !self.runs_known || now.since(self.last_answer_at) > limit_ms;
         was_long_silence && now.since(self.capacity_reported_at) > limit_ms
     }
--- a/crates/sched/src/suspects.rs
+++ b/crates/sched/src/suspects.rs
@@ -1,8 +1,9 @@
-//! Tasks that take down the workers that start them: which task it was, and how it is started until that is known.
+//! Tasks that crash the workers on which they start: how they are identified, and how they are started until then.
 //!
-//! A worker does not say why it crashed. What had been there long enough before is not suspected, where anything was
-//! there that had not. So one crash leaves few suspects, and the next one fewer: suspects of one crash are started
-//! apart from each other, and one that two workers have crashed under is started where nothing else can be blamed.
+//! A worker does not report why it crashed. Runs that had been there for long enough are not suspected if there were
+//! others that had not. So one crash leaves few suspects, and each further crash fewer: suspects of the same crash are
+//! started on separate workers, and a task suspected of two crashes is started isolated, so that nothing else can be
+//! the cause.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -25,17 +26,18 @@
 use crate::job::UnitState;
 use crate::units::Place;
 
-/// Of a run that was not isolated, nothing else is blamed only where its worker went silent within this time.
+/// A run that was not isolated counts as the sole suspect only if its worker went silent within this time of
+/// confirming it.
 const SUDDEN_SILENCE_MS: u64 = 100;
 
-/// Workers that go silent within this time of each other have done so at one moment.
+/// Workers whose silences began within this time of each other went silent simultaneously.
 const SIMULTANEOUS_MS: u64 = 500;
 
-/// Others that go silent at one moment with a worker, from which on something else than a task is the likelier cause: a
-/// rack without power, a switch.
+/// If at least this many other workers go silent simultaneously, a shared cause such as a power loss in a rack or a
+/// failed switch is more likely than a task.
 const SIMULTANEOUS_OTHERS: usize = 2;
 
-/// Silences of workers that are gone that are remembered: more than go at one moment in a rack.
+/// Maximum number of remembered silences of lost workers. More than a rack loses at once.
 const SILENCES_LIMIT: usize = 64;
 
 /// Which units of a step may be started now.
@@ -47,7 +49,7 @@
 }
 
 impl StartableUnits {
-    /// Says whether a unit may be.
+    /// Returns whether a unit may be started.
     pub(crate) const fn includes(self, unit: usize) -> bool {
         match self {
             Self::All => true,
@@ -58,15 +60,15 @@
 }
 
 impl Step {
-    /// Clears its tasks in general, once one that was started after they were suspected has not taken its worker
-    /// down.
+    /// Clears the suspicion against the step as a whole, once a run that was started after it arose has not crashed
+    /// its worker.
     fn clear_suspicion(&mut self, started_at: Millis) {
         self.suspected_at = self.suspected_at.filter(|at| *at > started_at);
     }
 }
 
 impl Scheduler {
-    /// Blames what may have taken down a worker that is gone without having said that it leaves.
+    /// Records a crash for the suspects on a worker that is gone, unless the worker had announced that it leaves.
     pub(crate) fn record_worker_crash(&mut self, key: WorkerKey, now: Millis) {
         let worker = &self.workers[key];
         if worker.spec.draining || worker.evacuating {
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Counts the other workers that are silent, or are gone, since the same moment.
+    /// Counts the other workers, including lost ones, whose silence began simultaneously.
     fn count_simultaneous_silences(&self, key: WorkerKey, silent_at: Millis) -> usize {
         let is_simultaneous =
             |at: Millis| at.since(silent_at).max(silent_at.since(at)) <= SIMULTANEOUS_MS;
@@ -123,13 +125,13 @@
         gone + silent.count()
     }
 
-    /// Names the unit of a task: of a gang, all members are one.
+    /// Identifies the unit of a task; all members of a gang share one.
     fn unit_key(&self, task: TaskId) -> (StepId, usize) {
         let unit = self.locate(task).map(|(_, _, unit, _)| unit);
         (task.step, unit.unwrap_or(usize::MAX))
     }
 
-    /// Blames what a predecessor had started on a worker that is gone before it told what ran on it.
+    /// Records a crash for what a predecessor had started on a worker that is gone before it reported its runs.
     fn record_unreported_crash(&mut self, worker: &WorkerId, now: Millis) {
         let mut suspects = Vec::new();
         for key in &self.open {
@@ -140,7 +142,8 @@
                     let members = before.workers.iter().enumerate();
                     let here = members.filter(|(_, at)| at.as_ref() == Some(worker));
                     let tasks = here.map(|(member, _)| step.task_at(id, unit_index, member));
-                    // What is suspected was announced before it was started, and isolated as it would be here.
+                    // The predecessor announced suspected tasks before it started them, and isolated them by the same
+                    // rule.
                     let sole_suspect = unit.is_isolated();
                     suspects.extend(tasks.map(|task| (task, before.run, sole_suspect)));
                 }
@@ -167,7 +170,7 @@
         if of_job.state.is_terminal() || known.is_some_and(|history| history.count.run >= run) {
             return;
         }
-        // Room that was found for the others was found for all of them at once.
+        // The reservations were chosen together, before this crash was known.
         for unit in 0..self.jobs[job].steps[step].units.len() {
             self.release_reservation(job, step, unit);
         }
@@ -187,7 +190,8 @@
         self.changed(job);
     }
 
-    /// Takes note that a worker lists a run: what has been there for long enough is no longer suspected.
+    /// Updates the probation of a run that its worker reports. A run that has been there for long enough is no longer
+    /// suspected.
     pub(crate) fn update_probation(&mut self, key: WorkerKey, name: (TaskId, Run), now: Millis) {
         let Some(run) = self.workers[key].runs.get_mut(&name) else {
             return;
@@ -210,7 +214,7 @@
         }
     }
 
-    /// Takes note that a run did not take its worker down that was started at a time.
+    /// Records that a run that was started at `started_at` did not crash its worker.
     pub(crate) fn clear_step(&mut self, task: TaskId, started_at: Millis) {
         if let Some((job, step, _, _)) = self.locate(task)
             && let Some(of_step) = self.jobs[job].steps.get_mut(step)
@@ -232,8 +236,8 @@
 
     /// Returns which units of a step may be started now.
     ///
-    /// While its tasks are suspected, that is one at a time, the one first that most workers have crashed under: all
-    /// of them may be alike.
+    /// While the step is suspected, one unit starts at a time, beginning with the one with the most crashes, since all
+    /// tasks of a step may have the same fault.
     pub(crate) fn startable_units(&self, job: JobKey, step: usize) -> StartableUnits {
         let of_step = &self.jobs[job].steps[step];
         if of_step.suspected_at.is_none() {
@@ -253,7 +257,7 @@
         })
     }
 
-    /// Says whether some run of a step may still take its worker down.
+    /// Returns whether some run of a step may still crash its worker.
     fn has_run_on_probation(&self, job: JobKey, step: usize) -> bool {
         let id = self.step_id(job, step);
         let mut workers = self.workers.values();
@@ -263,7 +267,7 @@
         })
     }
 
-    /// Keeps room for a task that workers crashed under on the worker that has least to lose.
+    /// Reserves a worker for a suspected task, preferring the one with the least to lose in a crash.
     pub(crate) fn place_suspect(&mut self, place: Place, fitting: &[WorkerKey], now: Millis) {
         let Place { job, step, unit } = place;
         let open = fitting
@@ -280,8 +284,9 @@
         self.place_reserved_task(job, step, unit, now);
     }
 
-    /// Says whether a unit may be started where room is kept for it: of one that is suspected, the store has to know
-    /// where. So a successor knows what to blame if a worker crashes under it while nobody is the scheduler.
+    /// Returns whether a unit may be started on the workers reserved for it. The placement of a suspected unit has to
+    /// be stored first, so that a successor can attribute a crash that happens while no scheduler is acting. Announces
+    /// the placement if that has not been done.
     pub(crate) fn ensure_announced(&mut self, place: Place) -> bool {
         let Place { job, step, unit } = place;
         let of_unit = &self.jobs[job].steps[step].units[unit];
@@ -299,7 +304,7 @@
         false
     }
 
-    /// Takes back what was announced of a unit: it is not started there.
+    /// Retracts the announced placement of a unit that is not started there.
     pub(crate) fn retract_announcement(&mut self, place: Place) {
         let of_unit = self.unit_mut(place);
         let Some(announced) = of_unit.announced.take() else {
--- a/crates/sched/src/usable.rs
+++ b/crates/sched/src/usable.rs
@@ -1,4 +1,4 @@
-//! Whether a worker may get new work, and why not.
+//! Whether a worker may get new work, and the reason if not.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,29 +7,29 @@
 
 use crate::worker::Worker;
 
-/// Why a worker gets nothing new.
+/// Why a worker gets no new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum UnusableReason {
     /// It is not registered.
     Unlisted,
-    /// It has not told yet what runs on it.
+    /// It has not reported its runs yet.
     Unheard,
-    /// Its latest renewal went without an answer.
+    /// Its latest renewal was unanswered.
     Silent,
-    /// It may have less room than it told last.
+    /// Its capacity may be lower than last reported.
     RoomInDoubt,
-    /// It leaves orders untaken, or its lease is let lapse.
+    /// It does not accept orders, or its lease is being let lapse.
     TakesNoOrders,
-    /// It drains, or its VM is about to be taken.
+    /// It is draining, or its VM is about to be taken.
     Leaving,
-    /// What it was given lately went wrong.
+    /// Its recent runs failed or were slow.
     Quarantined,
-    /// It is kept clear for a suspected task.
+    /// It is reserved for an isolated suspect, or running one.
     KeptClear,
 }
 
 impl UnusableReason {
-    /// Returns its name in logs.
+    /// Returns the name used in logs.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -45,17 +45,17 @@
     }
 }
 
-/// Workers that get nothing new, by the reason.
+/// Number of workers that get no new work, by reason.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct UnusableWorkers(BTreeMap<UnusableReason, usize>);
 
 impl UnusableWorkers {
-    /// Counts one more.
+    /// Counts one more worker.
     pub(crate) fn add(&mut self, unusable_reason: UnusableReason) {
         *self.0.entry(unusable_reason).or_default() += 1;
     }
 
-    /// Counts those that get nothing new for a reason.
+    /// Returns the number of workers that get no new work for a reason.
     #[must_use]
     pub fn count(&self, unusable_reason: UnusableReason) -> usize {
         self.0.get(&unusable_reason).copied().unwrap_or(0)
@@ -73,17 +73,17 @@
 }
 
 impl Worker {
-    /// Says whether it may get new work.
+    /// Returns whether it may get new work.
     pub(crate) fn is_usable(&self, now: Millis) -> bool {
         self.is_usable_for_isolation(now) && !self.is_kept_clear()
     }
 
-    /// Says whether it may get what it is kept clear for.
+    /// Returns whether it may get the isolated task that it is reserved for.
     pub(crate) fn is_usable_for_isolation(&self, now: Millis) -> bool {
         self.unusable_reason_except_isolation(now).is_none()
     }
 
-    /// Returns why it gets nothing new, if so.
+    /// Returns the first reason why it gets no new work, if any.
     pub(crate) fn unusable_reason(&self, now: Millis) -> Option<UnusableReason> {
         let kept_clear = self.is_kept_clear().then_some(UnusableReason::KeptClear);
         self.unusable_reason_except_isolation(now).or(kept_clear)
--- a/crates/sched/src/vms.rs
+++ b/crates/sched/src/vms.rs
@@ -1,4 +1,4 @@
-//! The VMs under the workers, as the platform listed them last.
+//! The VMs that workers run on, as last listed by the platform.
 
 use std::collections::BTreeMap;
 
@@ -14,33 +14,33 @@
 use crate::WorkerKey;
 use crate::worker::Phase;
 
-/// While something is to be done with VMs, they are listed this often.
+/// How often VMs are listed while there is something to do with them.
 const LIST_INTERVAL_MS: u64 = 500;
 
-/// A list that was asked for and did not come is asked for again after this time; one that is older says
-/// nothing any more.
+/// A list that was requested and has not arrived is requested again after this time, and an older list is not acted
+/// on.
 const LIST_TIMEOUT_MS: u64 = 2_000;
 
-/// What is known of the VMs.
+/// The known state of the VMs.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct VmInventory {
     pub(crate) known: BTreeMap<VmId, VmInfo>,
-    /// When the latest list was asked for that has come.
+    /// When the latest received list was requested.
     pub(crate) listed_at: Option<Millis>,
     asked_at: Option<Millis>,
-    /// No orders about VMs before this time: a predecessor's must be old by then.
+    /// No orders about VMs are sent before this time, so that those of a predecessor are settled by then.
     pub(crate) orders_allowed_from: Millis,
 }
 
 impl VmInventory {
-    /// Says whether the list is young enough to act on, and no predecessor's orders are.
+    /// Returns whether the list is recent enough to act on, and orders of a predecessor are settled.
     pub(crate) fn can_order(&self, now: Millis) -> bool {
         let listed_at = self.listed_at;
         let is_fresh = listed_at.is_some_and(|at| now.since(at) < LIST_TIMEOUT_MS);
         is_fresh && now >= self.orders_allowed_from
     }
 
-    /// Returns what a VM is doing, where the platform listed it since a time.
+    /// Returns the state of a VM if the latest list was requested after `since`.
     pub(crate) fn seen_since(&self, id: &VmId, since: Millis) -> Option<&VmInfo> {
         let listed_at = self.listed_at?;
         self.known.get(id).filter(|_| listed_at > since)
@@ -48,7 +48,7 @@
 }
 
 impl Scheduler {
-    /// Asks for the list of VMs if the last one is old.
+    /// Requests the list of VMs if the last one is old.
     pub(crate) fn request_vm_list(&mut self, now: Millis) {
         let vms = &mut self.vms;
         let waits = vms
@@ -65,8 +65,8 @@
     }
 
     pub(crate) fn vms_listed(&mut self, asked_at: Millis, listed: Option<Vec<VmInfo>>) {
-        // An earlier list that comes late answers an earlier question: dated by the latest one, it would show a
-        // VM as back that has only just gone down, and the next one of its wave would follow.
+        // A list that arrives late answers an earlier request. Dated by the latest request, it would show a VM as back
+        // up that has only just gone down, and the next VM of its wave would be taken down too.
         if self.vms.asked_at == Some(asked_at) {
             self.vms.asked_at = None;
         }
@@ -81,7 +81,7 @@
         self.vms.known = listed.collect();
     }
 
-    /// Returns the worker on a VM.
+    /// Returns the registered worker on a VM.
     pub(crate) fn worker_on(&self, vm: &VmId) -> Option<WorkerKey> {
         let mut workers = self.workers.iter();
         let found =
@@ -89,8 +89,8 @@
         found.map(|(key, _)| key)
     }
 
-    /// Moves the work off a worker: what is saved goes on elsewhere, what lasts is started elsewhere as
-    /// far as its users can bear it, the rest may end. Says whether nothing is left.
+    /// Moves the work off a worker. Checkpointed runs continue elsewhere, long-running ones are restarted elsewhere
+    /// within the limit of their step, and the rest may complete. Returns whether nothing is left.
     pub(crate) fn evacuate_worker(&mut self, key: WorkerKey, now: Millis) -> bool {
         self.workers[key].evacuating = true;
         let mut saved = Vec::new();
@@ -116,7 +116,7 @@
         self.workers[key].runs.is_empty()
     }
 
-    /// Says whether what is left on a worker may be ended with the VM.
+    /// Returns whether the runs left on a worker may be ended together with the VM.
     pub(crate) fn may_end_rest(&self, key: WorkerKey) -> bool {
         let mut steps: BTreeMap<_, u32> = BTreeMap::new();
         for (task, _) in self.workers[key].runs.keys() {
@@ -125,7 +125,7 @@
         self.may_interrupt_all(steps)
     }
 
-    /// Says whether all that serves on a worker may be missing for a while.
+    /// Returns whether all long-running tasks that serve on a worker may be unavailable for a while.
     pub(crate) fn may_end_serving(&self, key: WorkerKey) -> bool {
         let mut steps: BTreeMap<_, u32> = BTreeMap::new();
         for ((task, _), run) in &self.workers[key].runs {
@@ -136,8 +136,7 @@
         self.may_interrupt_all(steps)
     }
 
-    /// Says whether so many tasks of each of these steps may be taken out of service now, where their number has
-    /// a bound.
+    /// Returns whether these numbers of tasks may be taken out of service now, counting only steps with a limit.
     fn may_interrupt_all(&self, steps: BTreeMap<StepId, u32>) -> bool {
         let is_bounded = |step| {
             let spec = self.step_spec(step);
@@ -148,30 +147,30 @@
             .all(|(step, count)| !is_bounded(step) || self.may_interrupt(step, count))
     }
 
-    /// Lets a worker have work again.
+    /// Lets a worker get work again.
     pub(crate) fn cancel_evacuation(&mut self, vm: &VmId) {
         if let Some(key) = self.worker_on(vm) {
             self.workers[key].evacuating = false;
         }
     }
 
-    /// Returns a step of a job that has not ended for good.
+    /// Returns the specification of a step of a known job.
     fn step_spec(&self, step: StepId) -> Option<&StepSpec> {
         let job = &self.jobs[*self.job_keys.get(&step.job)?];
         let of_step = job.steps.get(job.index_of(step)?)?;
         Some(&of_step.spec)
     }
 
-    /// Says whether so many tasks of a step may be taken out of service now. Without a bound of its
-    /// own, one is at a time.
+    /// Returns whether `count` tasks of a step may be taken out of service now. Steps without a limit of their own
+    /// allow one at a time.
     fn may_interrupt(&self, step: StepId, count: u32) -> bool {
         let Some(spec) = self.step_spec(step) else {
             return true;
         };
         let mut in_service = 0;
         for worker in self.workers.values() {
-            // What a silent one told last may be as old as its lease, and nobody is served there meanwhile; what
-            // runs on one whose lease is let lapse ends.
+            // The last report of a silent worker may be as old as its lease, and nobody is served there meanwhile.
+            // Runs on a worker whose lease is being let lapse are about to end.
             if worker.silent || worker.contact.lapsing {
                 continue;
             }
--- a/crates/sched/src/worker.rs
+++ b/crates/sched/src/worker.rs
@@ -1,4 +1,4 @@
-//! What a scheduler knows of one worker: its room, its runs and how far it is to be trusted.
+//! The scheduler's state of one worker: its capacity, its runs and whether it can be relied on.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -23,18 +23,18 @@
 use crate::pacing::PaceControl;
 use crate::stale_capacity::StaleCapacity;
 
-/// How far a run is on a worker.
+/// The phase of a run on a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// The start order has no answer yet.
+    /// The start order has not been answered yet.
     Starting,
-    /// It runs.
+    /// The worker runs it.
     Running,
-    /// It was told to stop, or not to start.
+    /// A stop was ordered, possibly before the start was answered.
     Stopping,
 }
 
-/// One run that may hold room on a worker.
+/// A run that may occupy resources on a worker.
 #[derive(Debug, Clone)]
 #[expect(
     clippy::struct_excessive_bools,
@@ -43,36 +43,36 @@
 pub(crate) struct WorkerRun {
     pub(crate) resources: Resources,
     pub(crate) phase: Phase,
-    /// When its start was decided, or it was adopted.
+    /// When the start was decided or the run was adopted.
     pub(crate) held_since: Millis,
-    /// When the latest order about it was sent.
+    /// When the latest order about the run was sent.
     pub(crate) ordered_at: Millis,
-    /// Orders of that kind sent so far.
+    /// Number of orders of the current kind (start or stop) sent so far.
     pub(crate) orders: u32,
-    /// Copies of its start order that may be under way, or were carried out.
+    /// Number of copies of the start order that may still arrive or were carried out.
     pub(crate) copies: u32,
-    /// Whether the latest order has no answer yet.
+    /// Whether the latest order is still unanswered.
     pub(crate) in_flight: bool,
-    /// Since when it has been in doubt, while it is.
+    /// Start of the current doubt about whether it runs. Only meaningful while the run is in doubt.
     pub(crate) doubt_since: Millis,
-    /// When the worker first said that it runs.
+    /// When the worker first confirmed that it runs.
     pub(crate) confirmed_at: Option<Millis>,
-    /// Whether some report listed it.
+    /// Whether any report of the worker has listed it.
     pub(crate) reported: bool,
-    /// When the worker took the stop order.
+    /// When the worker accepted the stop order.
     pub(crate) stop_accepted_at: Option<Millis>,
     pub(crate) percent: u8,
     pub(crate) percent_at: Millis,
-    /// When it was first listed, or had been restored, and how far it was.
+    /// Time and percentage from which its speed is measured: the first report, or the first progress after a restore.
     pub(crate) progress_baseline: Option<(Millis, u8)>,
-    /// Whether it went on from a checkpoint, or may have.
+    /// Whether it resumed from a checkpoint, or may have.
     pub(crate) resumed: bool,
     pub(crate) checkpoint: SmolStr,
     pub(crate) ticket: SmolStr,
     pub(crate) priority: u32,
-    /// Whether it saves its progress, so that stopping it loses next to nothing.
+    /// Whether it saves its progress, so that little is lost by stopping it.
     pub(crate) checkpointed: bool,
-    /// Whether other runs end with it.
+    /// Whether it is a member of a gang, whose runs end together.
     pub(crate) gang: bool,
     /// Whether it runs until its job is cancelled.
     pub(crate) long_running: bool,
@@ -80,14 +80,14 @@
     pub(crate) probation: Probation,
 }
 
-/// What part of a worker a run gets, beside its room.
+/// How a run is entitled to processor time.
 #[derive(Debug, Clone)]
 pub(crate) enum CpuShare {
-    /// What it asked for. The processor time that it uses, in thousandths of a core, as reported last.
+    /// Gets what it requested. Holds the processor time in use as last reported, in thousandths of a core.
     Reserved { used_cpu_millis: Option<u64> },
-    /// What it asked for. The tail of its response times, as reported last, must stay below the limit.
+    /// Gets what it requested, and its tail latency, as last reported, must stay below the limit.
     LatencyBound { limit_ms: u64, tail_ms: Option<u64> },
-    /// What the others leave unused.
+    /// Gets the processor time that the other runs leave unused.
     Fills(Fill),
 }
 
@@ -109,7 +109,7 @@
 }
 
 impl WorkerRun {
-    /// Makes the run of a step's task that holds room from now on and has no answer yet.
+    /// Creates the run for a task of a step, which occupies its resources from now on while the start is unanswered.
     pub(crate) fn starting(spec: &StepSpec, priority: u32, now: Millis) -> Self {
         Self {
             resources: spec.room(),
@@ -138,27 +138,27 @@
         }
     }
 
-    /// Says whether it serves users of its own, whose response times have a limit.
+    /// Returns whether it serves requests with a latency limit.
     pub(crate) const fn is_latency_bound(&self) -> bool {
         matches!(self.share, CpuShare::LatencyBound { .. })
     }
 
-    /// Says whether it runs until its job is cancelled, and is at work.
+    /// Returns whether it is a long-running task that is ready and serving.
     pub(crate) fn is_in_service(&self) -> bool {
         self.long_running && self.phase == Phase::Running && self.percent >= 100
     }
 
-    /// Says whether it gets what others leave unused.
+    /// Returns whether it only gets what the other runs leave unused.
     pub(crate) const fn fills(&self) -> bool {
         matches!(self.share, CpuShare::Fills(_))
     }
 
-    /// Takes note that it is listed, and how far it is.
+    /// Records that a report listed it, with its progress.
     pub(crate) fn record_progress(&mut self, percent: u8, now: Millis) {
         let is_first = !self.reported;
         let moved = self.percent != percent;
         self.reported = true;
-        // What is restored first makes no progress: it counts from its first step on.
+        // A resumed run restores its checkpoint first, so its speed is measured from its first progress after that.
         let counts = !self.resumed || (moved && !is_first);
         if self.progress_baseline.is_none() && counts {
             self.progress_baseline = Some((now, percent));
@@ -169,26 +169,26 @@
         }
     }
 
-    /// Returns since when it has not been known whether it runs: its start or its stop has no answer.
+    /// Returns since when it has been unknown whether it runs, because its start or its stop is unanswered.
     pub(crate) fn in_doubt_since(&self) -> Option<Millis> {
-        let is_open = match self.phase {
+        let is_unanswered = match self.phase {
             Phase::Starting => true,
             Phase::Running => false,
             Phase::Stopping => self.stop_accepted_at.is_none(),
         };
-        is_open.then_some(self.doubt_since)
+        is_unanswered.then_some(self.doubt_since)
     }
 
-    /// Counts the orders since the doubt about it began.
+    /// Returns the number of orders sent since the doubt about it began.
     pub(crate) const fn orders_in_doubt(&self) -> u32 {
         let includes_starts = matches!(self.phase, Phase::Stopping) && self.confirmed_at.is_none();
         let starts = if includes_starts { self.copies } else { 0 };
         self.orders.saturating_add(starts)
     }
 
-    /// Takes note that it is to be stopped from now on.
+    /// Marks it as being stopped.
     pub(crate) fn begin_stop(&mut self, now: Millis) {
-        // The doubt whether it was started goes on.
+        // If the start is unanswered, the doubt continues from then.
         if self.phase != Phase::Starting {
             self.doubt_since = now;
         }
@@ -198,7 +198,7 @@
         self.in_flight = false;
     }
 
-    /// Returns the processor time that it takes from others, in thousandths of a core.
+    /// Returns the processor time that is unavailable to other runs, in thousandths of a core.
     fn used_cpu_millis(&self) -> u64 {
         match &self.share {
             CpuShare::Reserved { used_cpu_millis } => {
@@ -210,37 +210,37 @@
     }
 }
 
-/// An end that the worker must not forget before it is kept in the store.
+/// An end that the worker has to keep until the store has it.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct UnacknowledgedEnd {
     pub(crate) number: u64,
     pub(crate) job: JobId,
-    /// The change of the job that includes the end.
+    /// The change of the job's progress that includes the end.
     pub(crate) change: u64,
 }
 
-/// One worker.
+/// A worker.
 #[derive(Debug, Clone)]
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "each is an independent belief about a worker"
+    reason = "each is an independent property of a worker"
 )]
 pub(crate) struct Worker {
     pub(crate) spec: WorkerSpec,
     /// Whether it is registered.
     pub(crate) registered: bool,
-    /// Whether it has told what runs on it.
+    /// Whether it has reported its runs to this scheduler.
     pub(crate) runs_known: bool,
-    /// Whether its latest renewal went without an answer.
+    /// Whether its latest renewal was unanswered.
     pub(crate) silent: bool,
     pub(crate) last_answer_at: Millis,
-    /// When it last told what it has.
+    /// When it last reported its capacity.
     pub(crate) capacity_reported_at: Millis,
-    /// The doubt whether it has less than it told last, as it was silent for long before.
+    /// Set while its capacity may be lower than last reported, after a long silence.
     pub(crate) stale_capacity: Option<StaleCapacity>,
-    /// When its latest silence began to show.
+    /// When its latest silence was noticed.
     pub(crate) silent_since: Millis,
-    /// When the last of its leases has surely lapsed.
+    /// The time by which the last of its leases has certainly lapsed.
     pub(crate) lapse_at: Millis,
     pub(crate) runs: BTreeMap<(TaskId, Run), WorkerRun>,
     used: Resources,
@@ -248,27 +248,29 @@
     /// Number of the latest end that was handled.
     pub(crate) handled_end: u64,
     pub(crate) unacknowledged: VecDeque<UnacknowledgedEnd>,
-    /// Number of the latest end that may be forgotten, as told last, and as told in a call that was answered.
+    /// Number of the latest end that the worker may discard.
     pub(crate) acknowledged: u64,
+    /// The acknowledgement in the latest call, or 0 if it carried none.
     acknowledgement_in_flight: u64,
+    /// The highest acknowledgement in a call that was answered.
     acknowledgement_delivered: u64,
-    /// Failed ends since the last good one.
+    /// Failed runs since the last successful one.
     pub(crate) consecutive_failures: u32,
-    /// It gets nothing new before this time.
+    /// It gets no new starts before this time.
     pub(crate) quarantined_until: Millis,
-    /// Times that it was quarantined lately.
+    /// Number of its recent quarantines.
     pub(crate) quarantines: u32,
-    /// It counts as slow until then.
+    /// Until then it counts as slow.
     pub(crate) slow_until: Millis,
-    /// Suspected tasks that room is kept for.
+    /// Number of reservations on it for suspected tasks.
     pub(crate) reserved_suspects: u32,
-    /// Those of them for which it is to take nothing else.
+    /// How many of these reservations are for isolated tasks, which rule out any other start.
     pub(crate) reserved_isolations: u32,
-    /// Runs there whose tasks were suspected when they began.
+    /// Number of its runs whose tasks were suspected when they were started.
     pub(crate) suspected_runs: u32,
-    /// Whether its work moves off, since its VM is about to be taken.
+    /// Whether its runs are being moved off, because its VM is about to be taken.
     pub(crate) evacuating: bool,
-    /// How fast the runs may go that fill what is left over.
+    /// Controls the pace of the runs that fill unused processor time.
     pub(crate) pace: PaceControl,
     pub(crate) contact: Contact,
 }
@@ -306,13 +308,13 @@
         }
     }
 
-    /// Returns what the log should tell of it.
+    /// Returns the action that logs a note about it.
     pub(crate) fn note(&self, note: WorkerNote) -> Action {
         let worker = self.spec.id.clone();
         Action::Note(Note::Worker { worker, note })
     }
 
-    /// Says whether it may be sent another start before it has answered those under way.
+    /// Returns whether it may be sent another start while earlier ones are unanswered.
     pub(crate) fn may_take_start(&self) -> bool {
         let starting = self
             .runs
@@ -322,36 +324,36 @@
         starting.take(limit).count() < limit
     }
 
-    /// Returns what no run holds and no reservation claims.
+    /// Returns the capacity that is neither occupied by runs nor reserved.
     pub(crate) fn available(&self) -> Resources {
         self.available_without(&Resources::ZERO)
     }
 
-    /// Returns what no run would hold and no reservation claim, were so much of it freed: of a worker whose room shrank
-    /// under its runs, some of that was never there.
+    /// Returns the capacity that would be neither occupied nor reserved if `freed` were released. On an overcommitted
+    /// worker this is less than `available() + freed`, since released resources first cover the deficit.
     pub(crate) fn available_without(&self, freed: &Resources) -> Resources {
         let taken = self.used.saturating_add(&self.reserved);
         let taken = taken.saturating_sub(freed);
         self.spec.capacity.saturating_sub(&taken)
     }
 
-    /// Returns what no run holds.
+    /// Returns the capacity that is not occupied by runs; part of it may be reserved.
     pub(crate) fn free(&self) -> Resources {
         self.spec.capacity.saturating_sub(&self.used)
     }
 
-    /// Says whether its runs take more than it has: its room shrank under them.
+    /// Returns whether its runs occupy more than its capacity, because the capacity shrank while they ran.
     pub(crate) fn is_overcommitted(&self) -> bool {
         !self.used.fits_in(&self.spec.capacity)
     }
 
-    /// Returns the processor time that no run uses or waits for, in thousandths of a core.
+    /// Returns the processor time that no run uses or is waiting for, in thousandths of a core.
     pub(crate) fn idle_cpu_millis(&self) -> u64 {
         let used = self.runs.values().map(WorkerRun::used_cpu_millis);
         self.spec.capacity.cpu_millis.saturating_sub(used.sum())
     }
 
-    /// Counts the runs that serve users of their own.
+    /// Returns the number of runs with a latency limit.
     pub(crate) fn latency_bound_runs(&self) -> usize {
         self.runs
             .values()
@@ -359,7 +361,7 @@
             .count()
     }
 
-    /// Adds a run; its room is taken from now on.
+    /// Adds a run, which occupies its resources from now on.
     pub(crate) fn insert(&mut self, task: TaskId, run: Run, held: WorkerRun) {
         self.remove(task, run);
         self.used = self.used.saturating_add(&held.resources);
@@ -367,7 +369,7 @@
         self.runs.insert((task, run), held);
     }
 
-    /// Removes a run and frees its room.
+    /// Removes a run and releases its resources.
     pub(crate) fn remove(&mut self, task: TaskId, run: Run) -> Option<WorkerRun> {
         let removed = self.runs.remove(&(task, run))?;
         self.suspected_runs -= u32::from(removed.probation.began_suspected);
@@ -375,10 +377,12 @@
         Some(removed)
     }
 
-    /// Returns what the next call tells of ends that may be forgotten; 0 for nothing new.
+    /// Returns the number of the latest end that the next call tells the worker to discard, or 0 if there is nothing
+    /// new.
     ///
-    /// A later life of a worker counts its ends anew, and would forget its own. So nothing is told twice, nor to one
-    /// that has not answered the last call.
+    /// Each incarnation of a worker numbers its ends from 1, so a number meant for the previous incarnation would make
+    /// the next one discard its own ends. Therefore no number is sent again after an answer, and none is sent to a
+    /// worker that has not answered the last call.
     pub(crate) const fn next_acknowledgement(&mut self) -> u64 {
         if self.silent || self.acknowledged <= self.acknowledgement_delivered {
             self.acknowledgement_in_flight = 0;
@@ -388,14 +392,14 @@
         self.acknowledged
     }
 
-    /// Takes note that the latest call was answered.
+    /// Records that the latest call, and with it the acknowledgement, was answered.
     pub(crate) const fn confirm_acknowledgement(&mut self) {
         if self.acknowledgement_in_flight > self.acknowledgement_delivered {
             self.acknowledgement_delivered = self.acknowledgement_in_flight;
         }
     }
 
-    /// Finds out up to which end the worker may forget.
+    /// Advances the acknowledgement to the last end before the first one that the store does not have yet.
     pub(crate) fn advance_acknowledged<F>(&mut self, recorded: F)
     where
         F: Fn(JobId) -> u64,
@@ -419,12 +423,12 @@
         from_first.take_while(move |((task, _), _)| task.step == step)
     }
 
-    /// Counts the runs of a step on it.
+    /// Returns the number of runs of a step on it.
     pub(crate) fn count_runs_of(&self, step: StepId) -> u32 {
         u32::try_from(self.runs_of(step).count()).unwrap_or(u32::MAX)
     }
 
-    /// Says whether any run of a task holds room on it.
+    /// Returns whether any run of a task occupies resources on it.
     pub(crate) fn has_run_of(&self, task: TaskId) -> bool {
         let mut from_first = self.runs.range((task, Run(0))..);
         from_first
--- a/crates/sched/src/worker_report.rs
+++ b/crates/sched/src/worker_report.rs
@@ -1,4 +1,4 @@
-//! What workers say: of themselves, of what runs and ended, of orders.
+//! What workers report: their specification, their runs and ends, and the answers to orders.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -13,36 +13,36 @@
 use crate::Run;
 use crate::TaskId;
 
-/// What a worker says of itself where workers register.
+/// A worker's own description, as it registers it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerSpec {
-    /// Names one incarnation of the worker.
+    /// Identifies one incarnation of the worker.
     pub id: WorkerId,
     /// The service whose tasks it runs.
     pub service: ServiceName,
-    /// Where it takes orders, `ip:port`.
+    /// Where it accepts orders, `ip:port`.
     pub address: SmolStr,
     /// Its availability zone.
     pub zone: Zone,
     /// Its rack.
     pub rack: RackId,
-    /// Everything that a step can ask it to have, the rack included.
+    /// All labels that a step can require, the rack included.
     pub labels: Vec<SmolStr>,
-    /// What it has.
+    /// Its total resources.
     pub capacity: Resources,
-    /// Whether it is about to leave.
+    /// Whether it is draining and about to leave.
     pub draining: bool,
-    /// The VM that it runs on, where that is told.
+    /// The VM that it runs on, if known.
     #[serde(default)]
     pub vm: Option<VmId>,
 }
 
-/// How a run ended, as its worker lists it.
+/// How a run ended, as reported by its worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunEnd {
-    /// It did its work.
+    /// It completed its work.
     Done,
-    /// It failed, through its own fault or the worker's.
+    /// It failed, whether the task or the worker was at fault.
     Failed,
     /// It was stopped by an order.
     Stopped,
@@ -55,7 +55,7 @@
 }
 
 impl RunEnd {
-    /// Returns the name for logs.
+    /// Returns the name used in logs.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -69,83 +69,82 @@
     }
 }
 
-/// A run that a worker lists as running.
+/// A run that a worker reports as running.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunningReport {
     /// The task.
     pub task: TaskId,
-    /// Which start of it.
+    /// The number of its start.
     pub run: Run,
-    /// The latest checkpoint; empty where there is none.
+    /// The latest checkpoint, or empty if there is none.
     pub checkpoint: SmolStr,
-    /// How far it is; of a task that lasts, 100 once it is at work.
+    /// Its progress; for a long-running task, 100 once it is ready.
     pub percent: u8,
-    /// A rough figure of the last half second: of a task whose response times have a limit, their
-    /// tail in milliseconds; of any other, the processor time in use, in thousandths of a core.
+    /// Approximate load over the last half second: the tail latency in milliseconds for a task with a latency limit,
+    /// otherwise the processor time in use in thousandths of a core.
     pub load: Option<u64>,
 }
 
-/// An end that a worker lists until it is acknowledged.
+/// An end that a worker reports until it is acknowledged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndReport {
-    /// Number of the end in this incarnation of the worker, from 1.
+    /// Number of the end within this incarnation of the worker, starting at 1.
     pub number: u64,
     /// The task.
     pub task: TaskId,
-    /// Which start of it.
+    /// The number of its start.
     pub run: Run,
     /// How it ended.
     pub end: RunEnd,
-    /// The latest checkpoint; empty where there is none.
+    /// The latest checkpoint, or empty if there is none.
     pub checkpoint: SmolStr,
 }
 
-/// What a worker lists when its leases are renewed.
+/// What a worker reports when its leases are renewed.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct WorkerReport {
-    /// What runs.
+    /// The runs in progress.
     pub running: Vec<RunningReport>,
-    /// What ended and is not acknowledged, the earliest first.
+    /// Ends that are not acknowledged yet, oldest first.
     pub ended: Vec<EndReport>,
-    /// Whether more has ended than is listed at a time.
+    /// Whether there are more ends than fit in one report.
     pub has_more_ends: bool,
 }
 
-/// What a start order came to.
+/// The outcome of a start order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartAnswer {
-    /// It runs.
+    /// The run started.
     Started,
     /// The worker refused, and nothing runs.
     Refused(StartRefusal),
-    /// It may run, now or later.
+    /// It is unknown whether it runs or will run.
     InDoubt,
-    /// The order surely never left this node: it waited too long for its turn, or no connection could be
-    /// opened.
+    /// The order certainly never left this node: it waited too long in the queue, or no connection could be opened.
     NotSent,
 }
 
 /// Why a worker refused a start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartRefusal {
-    /// It has seen a later fencing token.
+    /// The worker has seen a later fencing token.
     Fenced,
-    /// A run as late as this one was stopped or ended there.
+    /// A run with the same or a later number was stopped or ended there.
     OldRun,
     /// The lease had lapsed when the order arrived.
     Late,
-    /// There is no room.
+    /// The worker does not have enough free resources.
     NoRoom,
-    /// The ticket is missing, wrong or too old.
+    /// The ticket is missing, invalid or expired.
     Ticket,
-    /// The worker is not well.
+    /// The worker is unhealthy.
     Unhealthy,
     /// The order was malformed.
     Malformed,
 }
 
 impl StartRefusal {
-    /// Returns the name for logs.
+    /// Returns the name used in logs.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
--- a/crates/sched/tests/core/crashes.rs
+++ b/crates/sched/tests/core/crashes.rs
@@ -1,4 +1,4 @@
-//! Workers that are lost, and tasks that take their workers down.
+//! Lost workers, and tasks that crash their workers.
 
 use syc_sched::Event;
 use syc_sched::JobId;
@@ -14,7 +14,7 @@
 use crate::driver::step;
 use crate::driver::worker;
 
-/// Long enough for a run that is listed after it not to be suspected of what happens to its worker.
+/// Longer than the probation of a run without earlier crashes.
 const PROBATION_MS: u64 = 600;
 
 fn report_running(driver: &mut Driver, runs: &[&StartOrder]) {
@@ -22,7 +22,7 @@
     driver.hold(runs[0].worker, &rows);
 }
 
-/// Lets a job's only task take down one worker after the other. Returns how many it took.
+/// Crashes each worker on which the only task of a job starts, until the job fails. Returns the number of crashes.
 fn count_crashes_until_failed(driver: &mut Driver, id: u64) -> usize {
     let mut crashes = 0;
     while driver.state(id) != Some(JobState::Failed) {
@@ -49,8 +49,8 @@
     assert_eq!((youngest.task, youngest.seen_ms), (young.task, 0));
 }
 
-#[test_case(false; "one that ends")]
-#[test_case(true; "one that lasts")]
+#[test_case(false; "finite")]
+#[test_case(true; "long-running")]
 fn a_task_is_given_up_when_three_workers_have_crashed_under_it(long_running: bool) {
     let mut driver = Driver::new(4, 8);
     let guilty = StepSpec {
@@ -84,7 +84,7 @@
     driver.submit(1, policy(0), vec![step(1, 2)]);
     driver.submit(2, policy(0), vec![step(1, 2)]);
     let started = driver.settle();
-    assert_eq!(started[0].worker, started[1].worker, "packed as they fit");
+    assert_eq!(started[0].worker, started[1].worker, "packed by best fit");
     driver.crash(started[0].worker);
     let again = driver.settle();
     assert_eq!(again.len(), 2);
@@ -107,7 +107,11 @@
     assert_eq!((guilty.len(), other.len()), (1, 0), "one at a time");
     driver.pass(PROBATION_MS);
     report_running(&mut driver, &[&guilty[0]]);
-    assert_eq!(driver.settle().len(), 1, "it did not take its worker down");
+    assert_eq!(
+        driver.settle().len(),
+        1,
+        "the suspect did not crash its worker"
+    );
 }
 
 #[test]
@@ -120,7 +124,11 @@
     }
     driver.submit(2, policy(0), vec![step(1, 1)]);
     let first = driver.start_all().remove(0);
-    assert_eq!(first.task.step.job, JobId(2), "more urgent");
+    assert_eq!(
+        first.task.step.job,
+        JobId(2),
+        "the more urgent job starts first"
+    );
     driver.submit(3, policy(0), vec![step(1, 1)]);
     assert!(driver.settle().is_empty());
     driver.pass(PROBATION_MS);
@@ -183,7 +191,10 @@
     driver.submit(1, policy(0), vec![step(1, 1)]);
     let first = driver.settle().remove(0);
     driver.crash(first.worker);
-    assert!(driver.start_all().is_empty(), "the store was not told yet");
+    assert!(
+        driver.start_all().is_empty(),
+        "the placement is not stored yet"
+    );
     driver.record();
     let unit = driver.kept[&JobId(1)].steps[0].units[&0].clone();
     let again = driver.start_all().remove(0);
@@ -199,7 +210,10 @@
     let first = driver.settle().remove(0);
     driver.crash(first.worker);
     driver.settle();
-    let left = driver.kept.remove(&JobId(1)).expect("it was written");
+    let left = driver
+        .kept
+        .remove(&JobId(1))
+        .expect("the progress was stored");
     let at = left.steps[0].units[&0].workers[0].clone();
     let mut successor = Driver::untried(0, 8);
     successor.restore(1, policy(0), vec![step(1, 1)], Some(&left));
@@ -221,7 +235,10 @@
     let mut driver = Driver::new(2, 8);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     driver.settle();
-    let mut left = driver.kept.remove(&JobId(1)).expect("it was written");
+    let mut left = driver
+        .kept
+        .remove(&JobId(1))
+        .expect("the progress was stored");
     let at = left.steps[0].units[&0].workers[0].clone();
     for _ in 0..3 {
         let mut successor = Driver::untried(0, 8);
@@ -266,7 +283,7 @@
     driver.apply(Event::Ticked);
     driver.record();
     let unit = &driver.kept[&JobId(1)].steps[0].units[&0];
-    assert_eq!(unit.accounted, start.run, "its lease has lapsed");
+    assert_eq!(unit.accounted, start.run, "the lease has lapsed");
     assert!(unit.crashes.is_empty());
 }
 
@@ -289,8 +306,8 @@
     assert!(driver.kept[&JobId(1)].steps[0].units[&0].crashes.is_empty());
 }
 
-/// Workers crash for reasons of their own, too: one that had been there for seconds each time is not given up as soon
-/// as one whose start each worker crashed at.
+/// Workers also crash for unrelated reasons. A task that had run for seconds before each crash is not given up as
+/// early as one whose start crashes each worker.
 #[test]
 fn a_long_running_task_survives_four_unrelated_worker_crashes() {
     let mut driver = Driver::new(1, 8);
@@ -308,8 +325,8 @@
     assert_eq!(driver.settle().len(), 1);
 }
 
-/// A gang with members on two workers, one of which has crashed: the member on the other is stopped, and the end of it is
-/// stored before the crash is known.
+/// Guards against an uncounted crash: one of two workers of a gang crashes, the member on the other one is stopped,
+/// and its end is stored before the crash is known.
 #[test]
 fn a_successor_counts_a_crash_under_a_gang_that_was_closing() {
     let mut driver = Driver::new(2, 2);
@@ -327,7 +344,10 @@
     driver.end(other, RunEnd::Alone, &[]);
     driver.record();
     let left = driver.kept[&JobId(1)].clone();
-    let name = driver.scheduler.name_of(guilty.worker).expect("a worker");
+    let name = driver
+        .scheduler
+        .name_of(guilty.worker)
+        .expect("a registered worker");
     let unit = &left.steps[0].units[&0];
     assert_eq!(unit.accounted, guilty.run);
 
@@ -350,13 +370,14 @@
     assert_eq!(crashes[&member].workers, 1);
 }
 
-/// What is left of a start that is accounted for is on workers that are registered, or gone with it.
+/// The recorded workers of an accounted start are either registered or lost, so waiting for an unknown one would never
+/// end.
 #[test]
 fn a_successor_does_not_wait_for_workers_of_an_accounted_start() {
     let left: syc_sched::JobProgress = serde_json::from_str(
         r#"{"state":"running","steps":[{"units":{"0":{"r":1,"a":1,"w":["","w-9"]}}}]}"#,
     )
-    .expect("a record as it is kept");
+    .expect("a stored record");
     let gang = StepSpec {
         gang: true,
         ..step(2, 2)
--- a/crates/sched/tests/core/pools.rs
+++ b/crates/sched/tests/core/pools.rs
@@ -1,4 +1,4 @@
-//! Pools on standby, by hand.
+//! Standby pools.
 
 use syc_sched::Duty;
 use syc_sched::DutyAnswer;
@@ -21,7 +21,7 @@
 
 const STANDBY: &str = "standby";
 
-/// Two VMs of the service, and two on standby.
+/// Two VMs belong to the service, and two to the standby pool.
 const IN_SERVICE: usize = 2;
 const ALL_VMS: usize = 4;
 
@@ -29,7 +29,7 @@
     ServiceName::new(name)
 }
 
-/// Lists all VMs; those before `here` are in the service's pool.
+/// Lists all VMs, the first `in_service` of them in the pool of the service.
 fn vm_list(in_service: usize, state: VmState) -> Vec<VmInfo> {
     let listed = (0..ALL_VMS).map(|index| VmInfo {
         id: vm(index),
@@ -98,13 +98,13 @@
 #[test]
 fn as_many_vms_are_moved_in_as_the_waiting_tasks_need() {
     let mut driver = driver();
-    // Eight of the twelve cores that are asked for are there.
+    // The service has eight of the twelve requested cores.
     driver.submit(1, policy(0), vec![step(12, 1)]);
     run_for(&mut driver, IN_SERVICE, 6_000);
     assert_eq!(take_moves(&mut driver), [(vm(2), pool(SERVICE))]);
     answer_move(&mut driver, vm(2), SERVICE, DutyAnswer::Done);
     run_for(&mut driver, IN_SERVICE, 1_000);
-    assert_eq!(take_moves(&mut driver), [], "it is on its way");
+    assert_eq!(take_moves(&mut driver), [], "the VM is already being moved");
 }
 
 #[test]
@@ -170,7 +170,7 @@
     }
     driver.record();
     run_for(&mut driver, IN_SERVICE + 1, 9_000);
-    assert_eq!(take_moves(&mut driver), [], "it was just used");
+    assert_eq!(take_moves(&mut driver), [], "the VM was used recently");
     run_for(&mut driver, IN_SERVICE + 1, 2_000);
     assert_eq!(take_moves(&mut driver), [(vm(2), pool(STANDBY))]);
     driver.submit(2, policy(0), vec![step(12, 1)]);
--- a/crates/sched/tests/core/restarts.rs
+++ b/crates/sched/tests/core/restarts.rs
@@ -1,4 +1,4 @@
-//! Workers that start again under their names.
+//! Workers that restart under the same name.
 
 use syc_sched::AdviceAnswer;
 use syc_sched::AdvicePolicy;
@@ -15,14 +15,14 @@
 use crate::driver::step;
 use crate::driver::worker;
 
-/// Makes a scheduler with one worker, in its first life.
+/// Creates a scheduler with the first incarnation of one worker.
 fn driver_with_worker() -> (Driver, WorkerKey) {
     let mut driver = Driver::new(0, 8);
     let life = register_incarnation(&mut driver, 1);
     (driver, life)
 }
 
-/// Lists a life of the worker, which runs nothing and has answered.
+/// Registers an incarnation of the worker.
 fn register_incarnation(driver: &mut Driver, started_ms: u64) -> WorkerKey {
     let spec = WorkerSpec {
         id: WorkerId::of_life("w", Some(started_ms)),
@@ -71,16 +71,20 @@
     assert_eq!(
         driver.scheduler.acknowledged_ends(key).0,
         0,
-        "it may be another life"
+        "the worker may be another incarnation"
     );
     driver.hold(key, &[]);
     assert_eq!(
         driver.scheduler.acknowledged_ends(key).0,
         1,
-        "it is the same"
+        "it is the same incarnation"
     );
     driver.hold(key, &[]);
-    assert_eq!(driver.scheduler.acknowledged_ends(key).0, 0, "it knows");
+    assert_eq!(
+        driver.scheduler.acknowledged_ends(key).0,
+        0,
+        "the worker has been told"
+    );
 }
 
 #[test]
@@ -100,7 +104,7 @@
     assert_eq!((again.len(), driver.stops.len()), (1, 0));
 }
 
-/// The order named the worker, not its life.
+/// The order addressed the worker by name, not by incarnation.
 #[test]
 fn a_start_that_may_have_reached_the_next_incarnation_is_stopped_there_first() {
     let (mut driver, first) = driver_with_worker();
@@ -109,7 +113,10 @@
     let start = driver.settle().remove(0);
     driver.apply(Event::Reborn { worker: first });
     driver.record();
-    assert!(driver.settle().is_empty(), "it may run in the next life");
+    assert!(
+        driver.settle().is_empty(),
+        "it may run on the next incarnation"
+    );
     unregister_incarnation(&mut driver, 1);
     let next = register_incarnation(&mut driver, 2);
     driver.hold(next, &[(start.task, start.run, 10)]);
@@ -145,7 +152,7 @@
     driver.apply(Event::RenewalFailed { worker: first });
     driver.apply(Event::Reborn { worker: first });
     driver.hold(next, &[]);
-    assert!(driver.settle().is_empty(), "its stop has no answer yet");
+    assert!(driver.settle().is_empty(), "the stop is unanswered");
     driver.stop_taken(&syc_sched::StartOrder {
         worker: next,
         ..start
@@ -181,7 +188,7 @@
     assert_eq!(driver.settle().len(), 1);
 }
 
-/// It may be another kind of worker: what was said of the life before says nothing of it.
+/// The new incarnation may be another kind of worker, so earlier advice does not apply to it.
 #[test]
 fn advice_that_denied_the_previous_incarnation_is_requested_for_the_next() {
     let (mut driver, first) = driver_with_worker();
@@ -208,7 +215,10 @@
     });
     driver.pass(5_000);
     driver.schedule();
-    assert!(driver.asks.is_empty(), "all have been asked about");
+    assert!(
+        driver.asks.is_empty(),
+        "advice was requested about all workers"
+    );
     driver.apply(Event::Reborn { worker: first });
     unregister_incarnation(&mut driver, 1);
     let next = register_incarnation(&mut driver, 2);
@@ -217,8 +227,8 @@
     assert_eq!(driver.asks, [(id, vec![next])]);
 }
 
-/// Its worker started again before it had listed the run, and another worker has room: a start there would run beside
-/// the one that may have reached the next life.
+/// Guards against two concurrent runs: the worker restarts before it reported the run, another worker has room, and
+/// the start may have reached the new incarnation.
 #[test]
 fn a_start_that_may_have_reached_the_next_incarnation_does_not_start_elsewhere_before_it_is_stopped()
  {
@@ -231,7 +241,10 @@
     driver.hold(other, &[]);
     driver.apply(Event::Reborn { worker: first });
     driver.record();
-    assert!(driver.settle().is_empty(), "it may run in the next life");
+    assert!(
+        driver.settle().is_empty(),
+        "it may run on the next incarnation"
+    );
     unregister_incarnation(&mut driver, 1);
     let next = register_incarnation(&mut driver, 2);
     let stops: Vec<_> = driver.stops.iter().map(|stop| stop.worker).collect();
@@ -240,7 +253,7 @@
     driver.record();
     assert!(
         driver.settle().is_empty(),
-        "it may still arrive: its stop has no answer"
+        "the start may still arrive, since the stop is unanswered"
     );
     driver.stop_taken(&syc_sched::StartOrder {
         worker: next,
--- a/crates/sched/tests/core/silence.rs
+++ b/crates/sched/tests/core/silence.rs
@@ -1,4 +1,4 @@
-//! Workers that do not answer: what may run there runs nowhere else.
+//! Unresponsive workers: a task that may run there does not run elsewhere.
 
 use syc_sched::Event;
 use syc_sched::Options;
@@ -21,7 +21,7 @@
     driver.pass(Options::default().lease_bound_ms - 600);
     driver.apply(Event::Ticked);
     driver.schedule();
-    assert!(driver.starts.is_empty(), "the lease may still last");
+    assert!(driver.starts.is_empty(), "the lease may still be valid");
     driver.pass(200);
     driver.apply(Event::Ticked);
     driver.record();
@@ -40,7 +40,7 @@
     driver.apply(Event::Replaced { worker });
     driver.record();
     driver.schedule();
-    // It may have taken the worker down, so that the store is told first where it goes.
+    // The task is suspected of the crash, so its next placement has to be stored first.
     driver.record();
     driver.schedule();
     assert_eq!(driver.starts.len(), 1);
@@ -83,12 +83,12 @@
         driver.apply(doubt.clone());
         driver.apply(Event::Ticked);
     }
-    assert_eq!(driver.starts.len(), 4, "the same order, four times in all");
+    assert_eq!(driver.starts.len(), 4, "the same order is sent four times");
     assert!(driver.starts.iter().all(|start| start.run == first.run));
     assert_eq!(driver.stops.len(), 1);
     driver.starts.clear();
     driver.schedule();
-    assert!(driver.starts.is_empty(), "the stop is not taken yet");
+    assert!(driver.starts.is_empty(), "the stop is not accepted yet");
     driver.stop_taken(&first);
     driver.pass(10);
     driver.hold(first.worker, &[]);
@@ -114,7 +114,7 @@
     });
     driver.record();
     driver.schedule();
-    assert!(driver.starts.is_empty(), "the run goes on");
+    assert!(driver.starts.is_empty(), "the run continues");
 }
 
 #[test]
--- a/crates/sched/tests/core/simulation.rs
+++ b/crates/sched/tests/core/simulation.rs
@@ -1,4 +1,4 @@
-//! A few workers in virtual time, some of which answer renewals and take no order.
+//! A simulation of a few workers in virtual time, some of which answer renewals but accept no orders.
 
 use std::collections::BTreeMap;
 
@@ -19,7 +19,7 @@
 const RENEW_MS: u64 = 200;
 const LEASE_MS: u64 = 6_000;
 
-/// An order that a worker was sent.
+/// An order sent to a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SentOrder {
     pub at: Millis,
@@ -31,7 +31,7 @@
 
 #[derive(Debug, Default)]
 struct SimulatedWorker {
-    /// Until then each order that it is sent is reset at once.
+    /// Orders before this time are reset at once.
     resets_until: Millis,
     lease_until: Millis,
     renew_at: Millis,
@@ -39,12 +39,12 @@
     ended: Vec<(TaskId, Run, RunEnd)>,
 }
 
-/// Workers, the scheduler that drives them, and what was sent.
+/// Simulated workers, the scheduler that drives them, and the orders sent.
 #[derive(Debug)]
 pub struct Simulation {
     pub driver: Driver,
     pub sent: Vec<SentOrder>,
-    /// Tasks that ran on two workers at a time.
+    /// Tasks that ran on two workers at the same time.
     pub ran_concurrently: Vec<TaskId>,
     pub lapsed: usize,
     pub work_ms: u64,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Lets a worker reset each order from now on, for so long.
+    /// Makes a worker reset all orders from now on, for `time_ms`.
     pub fn reset_orders(&mut self, index: usize, time_ms: u64) {
         let key = self.driver.workers[index];
         let until = self.driver.now.0.saturating_add(time_ms);
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Lets time pass until all of the jobs are done, or the limit is reached; returns the time that passed.
+    /// Runs until all of the jobs are completed or the limit is reached. Returns the elapsed time.
     pub fn run_until_done(&mut self, jobs: std::ops::Range<u64>, limit_ms: u64) -> u64 {
         let from = self.driver.now;
         let is_done =
@@ -103,14 +103,14 @@
         }
     }
 
-    /// Returns what a worker was sent.
+    /// Returns the orders sent to a worker.
     pub fn sent_to(&self, index: usize) -> Vec<SentOrder> {
         let key = self.driver.workers[index];
         let sent = self.sent.iter().filter(|sent| sent.worker == key);
         sent.copied().collect()
     }
 
-    /// Returns what was believed of a worker, in turn.
+    /// Returns the changes of belief about a worker, in order.
     pub fn beliefs_of(&self, index: usize) -> Vec<&'static str> {
         let name = format!("w-{index}");
         let beliefs = self.driver.beliefs.iter();
@@ -119,9 +119,7 @@
     }
 
     fn state_of(&mut self, key: WorkerKey) -> &mut SimulatedWorker {
-        self.states
-            .get_mut(&key)
-            .expect("a worker of the simulation")
+        self.states.get_mut(&key).expect("a simulated worker")
     }
 
     fn step(&mut self) {
@@ -136,7 +134,7 @@
         self.execute_orders();
     }
 
-    /// Carries out orders until there are none: a reset comes at once, and may bring the next order.
+    /// Carries out orders until there are none, since a reset is immediate and may cause another order.
     fn execute_orders(&mut self) {
         for _ in 0..100 {
             let starts = std::mem::take(&mut self.driver.starts);
@@ -167,7 +165,7 @@
                 });
             }
         }
-        panic!("orders are repeated without any time between them");
+        panic!("orders are repeated without delay");
     }
 
     fn record_order(&mut self, worker: WorkerKey, task: TaskId, run: Run, is_start: bool) {
@@ -210,7 +208,7 @@
         true
     }
 
-    /// Ends what is done, and what holds no lease any more.
+    /// Ends runs that are complete or whose lease has lapsed.
     fn end_due_runs(&mut self) {
         let now = self.driver.now;
         for state in self.states.values_mut() {
--- a/crates/sched/tests/core/slow.rs
+++ b/crates/sched/tests/core/slow.rs
@@ -1,4 +1,4 @@
-//! Workers that run slow while they look sound.
+//! Workers that run slowly although they appear healthy.
 
 use syc_sched::Event;
 use syc_sched::JobId;
@@ -17,7 +17,7 @@
 use crate::driver::step;
 use crate::driver::worker;
 
-/// How far the runs of a worker are, where each takes so long.
+/// Returns the progress of the runs on a worker if each takes `whole_ms`.
 fn progress_on(started: &[StartOrder], worker: WorkerKey, after_ms: u64, whole_ms: u64) -> Running {
     let percent = u8::try_from((after_ms * 100 / whole_ms).min(99)).expect("below 100");
     let here = started.iter().filter(|start| start.worker == worker);
@@ -26,8 +26,8 @@
 
 type Running = Vec<(TaskId, Run, u8)>;
 
-/// Starts the tasks of two jobs, four on each worker, that take 4 s. On the first worker they take so many
-/// times as long. Returns the starts after a second of reports.
+/// Starts the tasks of two jobs, four on each worker. Tasks take 4 s, and `slow` times as long on the first worker.
+/// Returns the starts after a second of reports.
 fn run_for_a_second(driver: &mut Driver, step: &StepSpec, slow: u64) -> Vec<StartOrder> {
     for id in [1, 2] {
         driver.submit(id, policy(0), vec![step.clone()]);
@@ -55,7 +55,7 @@
     }
 }
 
-/// Returns on which workers one more task of each of eight jobs starts.
+/// Submits eight more jobs of one task each, and returns the workers on which they start.
 fn workers_of_new_tasks(driver: &mut Driver) -> Vec<WorkerKey> {
     for id in 10..18 {
         driver.submit(id, policy(0), vec![step(1, 1)]);
@@ -65,7 +65,7 @@
 }
 
 #[test_case(1, true; "as fast as the others")]
-#[test_case(2, true; "within what estimates leave open")]
+#[test_case(2, true; "within the tolerance")]
 #[test_case(6, false; "six times slower")]
 fn a_worker_whose_runs_are_all_slow_gets_no_new_tasks(slow: u64, used: bool) {
     let mut driver = Driver::new(4, 8);
@@ -91,8 +91,8 @@
     assert!(workers_of_new_tasks(&mut driver).contains(&first));
 }
 
-#[test_case(true; "saved")]
-#[test_case(false; "not saved")]
+#[test_case(true; "checkpointed")]
+#[test_case(false; "not checkpointed")]
 fn runs_that_would_end_sooner_elsewhere_move_off_a_slow_worker(checkpointed: bool) {
     let mut driver = Driver::new(4, 8);
     let step = StepSpec {
@@ -128,7 +128,7 @@
     assert_eq!(driver.stops, []);
 }
 
-/// How long such a task takes depends on where it is.
+/// The run time of such a task depends on the rack that it runs in.
 #[test]
 fn tasks_with_a_data_rack_do_not_count_towards_slowness() {
     let mut driver = Driver::new(4, 8);
@@ -140,7 +140,7 @@
     assert_eq!(driver.stops, []);
 }
 
-/// A predecessor's run may just have been restored, and a resumed one is restored first.
+/// An adopted run may just have been resumed, and a resumed run restores its checkpoint first.
 #[test]
 fn an_adopted_run_is_measured_from_its_first_progress() {
     let mut driver = Driver::new(0, 0);
@@ -156,7 +156,7 @@
     };
     for after_ms in (0..=1_000).step_by(100) {
         for (number, key) in (0..).zip(driver.workers.clone()) {
-            // On the first worker nothing moves for a second, as while checkpoints are restored.
+            // The first worker makes no progress for a second, as if it were restoring checkpoints.
             let percent = if number == 0 { 30 } else { 30 + after_ms / 40 };
             let percent = u8::try_from(percent).expect("below 100");
             let tasks = [2 * number, 2 * number + 1];
--- a/crates/sched/tests/core/spread.rs
+++ b/crates/sched/tests/core/spread.rs
@@ -1,4 +1,4 @@
-//! A bound on the tasks of a step that share a worker.
+//! The limit on tasks of a step per worker.
 
 use syc_sched::StepSpec;
 
--- a/crates/sched/tests/core/stale_capacity.rs
+++ b/crates/sched/tests/core/stale_capacity.rs
@@ -1,4 +1,4 @@
-//! Rooms that shrink while tasks run, and workers that may have less than they told last.
+//! Capacity that shrinks while tasks run, and workers whose capacity may be lower than last reported.
 
 use syc_sched::Action;
 use syc_sched::Event;
@@ -52,7 +52,7 @@
     driver.submit(1, policy(0), vec![step(1, 4)]);
     assert!(driver.settle().is_empty());
     register_with_cores(&mut driver, 2);
-    assert!(driver.settle().is_empty(), "it has less");
+    assert!(driver.settle().is_empty(), "the capacity is too small");
     register_with_cores(&mut driver, 8);
     assert_eq!(driver.settle().len(), 1);
 }
@@ -77,10 +77,13 @@
         driver.apply(Event::Ticked);
     }
     assert!(driver.starts.is_empty());
-    assert!(!driver.stops.is_empty(), "what may run there is stopped");
+    assert!(
+        !driver.stops.is_empty(),
+        "runs that may have started are stopped"
+    );
 }
 
-/// What is stopped for urgent work has to make the room that it takes, beyond what is lacking already.
+/// Preemption has to cover the deficit of an overcommitted worker in addition to the new task.
 #[test]
 fn nothing_is_preempted_if_the_urgent_task_would_still_not_fit() {
     let mut driver = Driver::new(1, 8);
@@ -94,13 +97,14 @@
     register_with_cores(&mut driver, 3);
     driver.submit(2, policy(0), vec![step(1, 4)]);
     driver.settle();
-    assert!(driver.stops.is_empty(), "it has no room for it at all");
+    assert!(driver.stops.is_empty(), "the task exceeds the capacity");
     driver.submit(3, policy(0), vec![step(1, 3)]);
     driver.settle();
-    assert_eq!(driver.stops.len(), 2, "one of them does not make room");
+    assert_eq!(driver.stops.len(), 2, "one run alone does not make room");
 }
 
-/// Makes a scheduler that reads registrations, and one worker that has just answered after four seconds.
+/// Creates a scheduler that has read the registrations, and a worker that has just answered after four seconds of
+/// silence.
 fn driver_after_long_silence() -> (Driver, WorkerKey) {
     let mut driver = Driver::new(1, 8);
     let worker = driver.workers[0];
@@ -111,7 +115,8 @@
     (driver, worker)
 }
 
-/// A worker with nothing new to say is not written again where workers register, and got nothing for good.
+/// A worker whose registration does not change never writes it again. Guards against such a worker getting no new work
+/// forever.
 #[test]
 fn a_registration_that_outlasts_the_silence_confirms_the_known_capacity() {
     let (mut driver, worker) = driver_after_long_silence();
@@ -120,7 +125,10 @@
     let told_within_ms = Options::default().told_within_ms;
     while driver.now < answered_at.plus(told_within_ms) {
         driver.read_workers();
-        assert!(driver.settle().is_empty(), "it may have told nothing since");
+        assert!(
+            driver.settle().is_empty(),
+            "the registration may not have been refreshed since"
+        );
         driver.pass(250);
         driver.hold(worker, &[]);
     }
@@ -128,7 +136,7 @@
     assert_eq!(driver.settle().len(), 1);
 }
 
-/// While the registrations can't be read, nobody knows whether they would have lapsed.
+/// While the registrations can't be read, it is unknown whether they would have expired.
 #[test]
 fn time_without_registration_reads_does_not_confirm_capacity() {
     let (mut driver, worker) = driver_after_long_silence();
@@ -146,7 +154,7 @@
     assert_eq!(driver.settle().len(), 1);
 }
 
-/// Each read of a slow store takes seconds, and each began the wait anew.
+/// Guards against each read of a slow store, which takes seconds, restarting the wait.
 #[test]
 fn slow_registration_reads_add_up_to_the_confirmation_time() {
     let (mut driver, worker) = driver_after_long_silence();
@@ -159,7 +167,7 @@
     assert_eq!(driver.settle().len(), 1);
 }
 
-/// Without it, nobody could tell why free workers were given nothing.
+/// Otherwise the log would not show why idle workers get no work.
 #[test]
 fn a_waiting_step_reports_why_workers_are_unusable() {
     let (mut driver, _worker) = driver_after_long_silence();
@@ -171,7 +179,7 @@
         Action::Note(Note::Waiting { hindered, .. }) => Some(hindered),
         _ => None,
     });
-    let hindered = told.expect("it has waited for a second");
+    let hindered = told.expect("a note after a second of waiting");
     assert_eq!(hindered.count(UnusableReason::RoomInDoubt), 1);
     assert_eq!(hindered.to_string(), "room_in_doubt=1");
 }
--- a/crates/sched/tests/core/unanswered_orders.rs
+++ b/crates/sched/tests/core/unanswered_orders.rs
@@ -1,4 +1,5 @@
-//! Workers that answer renewals and take no order: nothing holds them shut, and no task waits for them for ever.
+//! Workers that answer renewals but accept no orders: they are used again once they do, and no task waits for them
+//! forever.
 
 use syc_sched::Event;
 use syc_sched::Options;
@@ -16,16 +17,16 @@
 
 const FOREVER_MS: u64 = 1_000_000;
 
-/// Starts without an answer that a worker has at most.
+/// Maximum number of unanswered starts per worker.
 const STARTS_IN_FLIGHT: usize = 8;
 
-/// Longest time that a task may wait for a worker that takes no order, beside its own run and its next start.
+/// Maximum time that a task waits for a worker that accepts no orders, apart from its own run and its next start.
 fn max_doubt_ms() -> u64 {
     let options = Options::default();
     options.doubt_limit_ms + options.lease_bound_ms
 }
 
-/// Three workers, the first of which resets each order for so long from the first one on; some jobs come.
+/// Creates three workers, the first of which resets all orders for `time_ms`, and submits jobs.
 fn simulation_with_unresponsive_worker(time_ms: u64) -> Simulation {
     let mut simulation = Simulation::new(3, 4);
     simulation.reset_orders(0, time_ms);
@@ -33,7 +34,7 @@
     simulation
 }
 
-/// Returns the shortest time between two orders about the same run on a worker.
+/// Returns the shortest time between two orders about the same run.
 fn shortest_gap_ms(sent: &[SentOrder]) -> u64 {
     let mut shortest = u64::MAX;
     for (index, later) in sent.iter().enumerate() {
@@ -46,7 +47,7 @@
     shortest
 }
 
-/// Counts the most orders that were sent in any second.
+/// Returns the largest number of orders sent within one second.
 fn max_orders_per_second(sent: &[SentOrder]) -> usize {
     let in_second = |from: &SentOrder| {
         let within = |other: &&SentOrder| other.at >= from.at && other.at.since(from.at) < 1_000;
@@ -56,7 +57,7 @@
 }
 
 #[test_case(2_000; "for two seconds")]
-#[test_case(FOREVER_MS; "for ever")]
+#[test_case(FOREVER_MS; "forever")]
 fn every_task_completes_although_a_worker_accepts_no_orders(time_ms: u64) {
     let mut simulation = simulation_with_unresponsive_worker(time_ms);
     let took_ms = simulation.run_until_done(1..13, 60_000);
@@ -65,7 +66,7 @@
 }
 
 #[test_case(2_000; "for two seconds")]
-#[test_case(FOREVER_MS; "for ever")]
+#[test_case(FOREVER_MS; "forever")]
 fn no_order_is_repeated_within_milliseconds(time_ms: u64) {
     let mut simulation = simulation_with_unresponsive_worker(time_ms);
     simulation.run_for(20_000);
@@ -136,7 +137,7 @@
     assert_eq!(simulation.ran_concurrently, []);
 }
 
-/// Two workers, each with one task of a step of which so many may be missing, and with a start that it did not take.
+/// Creates two workers, each with an unanswered start and a serving task of a step with this unavailable limit.
 fn workers_with_unanswered_starts(unavailable_limit: u32) -> (Driver, Vec<StartOrder>) {
     let mut driver = Driver::new(2, 4);
     let lasting = StepSpec {
@@ -155,7 +156,7 @@
     (driver, serving)
 }
 
-/// Lets time pass while the workers answer renewals, serve, and take no order.
+/// Lets time pass while the workers answer renewals and serve, but accept no orders.
 fn pass_ignoring_orders(driver: &mut Driver, serving: &[StartOrder], time_ms: u64) {
     for _ in 0..time_ms / 100 {
         driver.pass(100);
@@ -183,9 +184,9 @@
     driver.workers.iter().filter(may_renew).count()
 }
 
-#[test_case(0, 0; "none may be missing")]
-#[test_case(1, 1; "one may be missing")]
-#[test_case(2, 2; "both may be missing")]
+#[test_case(0, 0; "none may be unavailable")]
+#[test_case(1, 1; "one may be unavailable")]
+#[test_case(2, 2; "both may be unavailable")]
 fn leases_are_let_lapse_only_within_the_unavailable_limit(limit: u32, expected: usize) {
     let (mut driver, serving) = workers_with_unanswered_starts(limit);
     let limit_ms = Options::default().doubt_limit_ms;
@@ -210,7 +211,7 @@
     );
 }
 
-/// Many steps become ready at once after a takeover, and the first worker to answer has room for all of them.
+/// After a takeover many steps become ready at once, and the first worker to answer has room for all of them.
 #[test]
 fn unanswered_starts_per_worker_are_limited() {
     for (mut driver, most) in [
@@ -238,7 +239,7 @@
         started += driver.confirm_starts().len();
         answers += 1;
     }
-    // Two each, and then eight each time: 3 * 2 + 9 * 24 are more than 200.
+    // Two starts each in the first round, then eight each: 3 * 2 + 9 * 24 is more than 200.
     assert!(answers <= 10, "{answers}");
 }
 
@@ -292,7 +293,7 @@
     assert_eq!(stopped, [running[0].worker]);
 }
 
-/// On a day when four of ten orders go without an answer, workers are still of use.
+/// A worker stays in use while two of five orders are unanswered.
 #[test]
 fn a_worker_that_loses_some_orders_still_gets_tasks() {
     let mut driver = Driver::new(1, 64);
@@ -341,7 +342,7 @@
     assert_ne!(driver.starts[0].worker, first.worker);
 }
 
-/// Others were under way for too long: what the node itself held back says nothing of the worker.
+/// Orders held back by the node, because earlier ones took too long, are not evidence against the worker.
 #[test]
 fn unsent_starts_do_not_count_against_their_worker() {
     let mut driver = Driver::new(1, 8);
@@ -374,7 +375,7 @@
     driver.starts.clear();
     driver.record();
     driver.schedule();
-    assert_eq!(driver.starts, [], "the first copy may be under way");
+    assert_eq!(driver.starts, [], "the first start order may still arrive");
 }
 
 #[test]
@@ -388,7 +389,7 @@
     assert_eq!(driver.scheduler.counts(driver.now).runs, 0);
 }
 
-/// An earlier copy may be carried out late though a later one was refused, also where a stop came in between.
+/// The first start order may still be carried out after a retry was refused, even if a stop was sent in between.
 #[test]
 fn a_refused_retry_does_not_end_a_stopping_run_whose_first_start_may_arrive() {
     let mut driver = Driver::new(1, 2);
--- a/crates/sched/tests/overload/main.rs
+++ b/crates/sched/tests/overload/main.rs
@@ -1,8 +1,8 @@
-//! A load near what the workers hold, calm or with a disruption in the midst of it, in virtual time.
+//! Load close to the capacity of the workers in virtual time, steady or with a disruption in the middle.
 //!
-//! What a disruption leaves behind must be worked off, and a load that can be served must not choke on the
-//! calls that it makes for advice. The load is that of three kinds of request whose calls for advice, cores
-//! and urgency differ by orders of magnitude.
+//! The backlog of a disruption has to be worked off, and a load within capacity must not be delayed by its own calls
+//! for advice. The load consists of three kinds of request whose calls for advice, cores and urgency differ by orders
+//! of magnitude.
 
 mod replay;
 mod setup;
@@ -15,8 +15,8 @@
 use setup::Setup;
 use test_case::test_case;
 
-/// No look at the waiting tasks, a third of the nodes that ask for advice away, and nearly twice the urgent
-/// load, for five seconds.
+/// For five seconds there are no scheduling passes, a third of the nodes that ask for advice are absent, and the
+/// urgent load nearly doubles.
 const OUTAGE: Disruption = Disruption {
     from_ms: 15_000,
     until_ms: 20_000,
@@ -24,19 +24,19 @@
     urgent_load_factor: 1.9,
 };
 
-/// Load of the calm days, in hundredths of what the workers hold.
-const CALM_PERCENT: u32 = 87;
+/// Load without disruption, in percent of the capacity.
+const STEADY_PERCENT: u32 = 87;
 
-/// By then the workers are as full as they get at that load.
-const CALM_FROM_MS: u64 = 8_000;
+/// The workers have reached their steady utilization by then.
+const STEADY_FROM_MS: u64 = 8_000;
 
-/// From ten seconds after the disruption on, each kind is served as before it.
+/// Ten seconds after the disruption, each kind has to be served as before it.
 const SERVED_FROM_MS: u64 = 30_000;
 
-#[test_case(1, None; "calm")]
-#[test_case(2, None; "calm, other jobs")]
-#[test_case(1, Some(OUTAGE); "after a standstill")]
-#[test_case(2, Some(OUTAGE); "after a standstill, other jobs")]
+#[test_case(1, None; "steady")]
+#[test_case(2, None; "steady, other jobs")]
+#[test_case(1, Some(OUTAGE); "after an outage")]
+#[test_case(2, Some(OUTAGE); "after an outage, other jobs")]
 fn each_kind_meets_its_objective_near_capacity(seed: u64, disruption: Option<Disruption>) {
     let setup = Setup::large();
     let until_ms = setup.load_until_ms;
@@ -50,7 +50,7 @@
     assert!(lookups > 0.98, "gangs, batch, lookups: {served:.2?}");
 }
 
-/// A look that worked out whom to ask about each waiting step would hold up the scheduler.
+/// A pass that selected workers to ask about for every waiting step would hold up the scheduler.
 #[test]
 fn a_pass_selects_workers_for_advice_only_while_calls_are_available() {
     let setup = Setup {
@@ -61,7 +61,7 @@
     let mut replay = Replay::new(1, setup, Some(OUTAGE));
     replay.run_until(OUTAGE.until_ms);
     let waiting = replay.waiting_tasks();
-    assert!(waiting > 4_000, "{waiting} tasks wait");
+    assert!(waiting > 4_000, "{waiting} tasks are waiting");
     let before = replay.examined_workers();
     replay.schedule();
     let examined = replay.examined_workers() - before;
@@ -72,40 +72,40 @@
     );
 }
 
-/// Wide gangs need advice about more workers than one call may name. Asked one after the other, the first tickets were
-/// too old when the last came, and the widest gangs waited for ever.
+/// Wide gangs need advice about more workers than one call may name. Guards against asking one call after another,
+/// which let the first tickets expire before the last arrived, so that the widest gangs waited forever.
 #[test_case(1; "some jobs")]
 #[test_case(2; "other jobs")]
 fn the_largest_gangs_meet_their_objective_like_the_others(seed: u64) {
-    let setup = Setup::wide(CALM_PERCENT);
+    let setup = Setup::wide(STEADY_PERCENT);
     let until_ms = setup.load_until_ms;
     let mut replay = Replay::new(seed, setup, None);
     replay.run();
     assert_eq!(replay.faults(), []);
-    let all = replay.served(GANGS, CALM_FROM_MS, until_ms);
-    let largest = replay.served_of_largest(GANGS, CALM_FROM_MS, until_ms);
+    let all = replay.served(GANGS, STEADY_FROM_MS, until_ms);
+    let largest = replay.served_of_largest(GANGS, STEADY_FROM_MS, until_ms);
     assert!(
         all >= 0.93 && largest >= 0.9 * all,
         "{all:.2}, largest {largest:.2}"
     );
 }
 
-/// How each kind is served at more load than room, and what is stopped for it.
+/// Prints how each kind is served at loads above the capacity, and how many runs are preempted.
 #[test]
-#[ignore = "prints a curve, and takes minutes"]
+#[ignore = "prints a table, and takes minutes"]
 fn print_service_by_load() {
-    for load_percent in [CALM_PERCENT, 100, 113, 130, 150] {
+    for load_percent in [STEADY_PERCENT, 100, 113, 130, 150] {
         let setup = Setup::wide(load_percent);
         let until_ms = setup.load_until_ms;
         let mut replay = Replay::new(1, setup, None);
         replay.run();
         let kinds = [GANGS, BATCH, LOOKUPS];
-        let served = kinds.map(|kind| replay.served(kind, CALM_FROM_MS, until_ms));
-        let largest = kinds.map(|kind| replay.served_of_largest(kind, CALM_FROM_MS, until_ms));
+        let served = kinds.map(|kind| replay.served(kind, STEADY_FROM_MS, until_ms));
+        let largest = kinds.map(|kind| replay.served_of_largest(kind, STEADY_FROM_MS, until_ms));
         let preemptions = replay.preemptions();
         println!(
             "{load_percent}%: gangs, batch, lookups {served:.2?}, largest {largest:.2?}, \
-             {} of {} runs stopped, {} of one task",
+             {} of {} runs preempted, at most {} of one task",
             preemptions.stops, preemptions.starts, preemptions.max_per_task
         );
     }
--- a/crates/sched/tests/overload/replay.rs
+++ b/crates/sched/tests/overload/replay.rs
@@ -1,4 +1,4 @@
-//! The decision core against models of the workers and of the advice service.
+//! Runs the decision core against models of the workers and of the advice service.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -52,7 +52,7 @@
 
 const SERVICE: &str = "service";
 const TICK_MS: u64 = 20;
-/// The same in seconds.
+/// `TICK_MS` in seconds.
 const TICK_S: f64 = 0.02;
 const RENEW_MS: u64 = 1_000;
 const LEASE_MS: u64 = 6_000;
@@ -68,13 +68,13 @@
     },
 }
 
-/// How a job went.
+/// Admission and outcome of a job.
 #[derive(Debug, Clone, Copy)]
 struct JobRecord {
     kind: usize,
     accepted_at: Millis,
     objective_ms: u64,
-    /// What all of its tasks take, in thousandths of a core times milliseconds.
+    /// The work of all of its tasks, in thousandths of a core times milliseconds.
     core_ms: u64,
     ended_after_ms: Option<u64>,
 }
@@ -102,18 +102,18 @@
     jobs: BTreeMap<JobId, JobRecord>,
     due_jobs: Vec<f64>,
     starts: u64,
-    /// Tasks that were stopped for more urgent work, and how often each was.
+    /// The number of preemptions of each task.
     preempted: BTreeMap<TaskId, u32>,
 }
 
-/// What was stopped for more urgent work.
+/// Preemption counters.
 #[derive(Debug, Clone, Copy)]
 pub struct Preemptions {
-    /// Runs that were started.
+    /// Number of runs started.
     pub starts: u64,
-    /// Runs of them that were stopped.
+    /// Number of runs preempted.
     pub stops: u64,
-    /// Most often that one task was.
+    /// Largest number of preemptions of one task.
     pub max_per_task: u32,
 }
 
@@ -160,12 +160,12 @@
         replay
     }
 
-    /// Plays until all should be over.
+    /// Runs to the end of the setup, by which all jobs should have ended.
     pub fn run(&mut self) {
         self.run_until(self.setup.end_ms);
     }
 
-    /// Plays until a time.
+    /// Runs until the given time.
     pub fn run_until(&mut self, until_ms: u64) {
         while self.now.0 < until_ms {
             self.now = self.now.plus(TICK_MS);
@@ -250,7 +250,7 @@
         self.perform(actions);
     }
 
-    /// Looks at what waits.
+    /// Runs a scheduling pass.
     pub fn schedule(&mut self) {
         self.scheduler
             .set_advice_slots(self.advisers.slots(self.now));
@@ -320,7 +320,7 @@
         });
     }
 
-    /// Workers report what ended at once, and otherwise once a second.
+    /// Renews the leases of workers that have ends or a stop to report at once, and of the others once a second.
     fn renew(&mut self) {
         let mut due = Vec::new();
         for (key, (id, renew_at)) in &self.sessions {
@@ -457,7 +457,7 @@
         self.deliver_after(until.since(self.now) + 2, delivery);
     }
 
-    /// Returns the share of a kind's jobs, of those accepted in some time, that met their objective.
+    /// Returns the share of a kind's jobs accepted in a time range that met their objective.
     pub fn served(&self, kind: usize, from_ms: u64, until_ms: u64) -> f64 {
         let mut accepted = 0;
         let mut met = 0;
@@ -472,7 +472,7 @@
         f64::from(met) / f64::from(accepted)
     }
 
-    /// Returns the same for the largest tenth of a kind's jobs.
+    /// Like `served`, for the largest tenth of a kind's jobs.
     pub fn served_of_largest(&self, kind: usize, from_ms: u64, until_ms: u64) -> f64 {
         let in_time = |record: &&JobRecord| {
             record.kind == kind && (from_ms..until_ms).contains(&record.accepted_at.0)
@@ -486,7 +486,7 @@
         f64::from(met) / f64::from(all)
     }
 
-    /// Returns what was stopped for more urgent work.
+    /// Returns the preemption counters.
     pub fn preemptions(&self) -> Preemptions {
         Preemptions {
             starts: self.starts,
@@ -495,17 +495,17 @@
         }
     }
 
-    /// Returns what was broken on the workers.
+    /// Returns the violations that the fleet model found.
     pub fn faults(&self) -> &[Fault] {
         self.fleet.judge.faults()
     }
 
-    /// Counts the tasks that wait for a start.
+    /// Returns the number of tasks that wait for a start.
     pub fn waiting_tasks(&self) -> u64 {
         self.scheduler.counts(self.now).waiting_tasks
     }
 
-    /// Counts the workers examined so far to find whom to ask, or where to start.
+    /// Returns the number of workers examined so far, to ask for advice or to place a task.
     pub const fn examined_workers(&self) -> u64 {
         self.scheduler.examined_workers()
     }
@@ -519,7 +519,7 @@
     core_ms
 }
 
-/// Returns the time that a job may take: its objective counts from the work that it has.
+/// Returns the time limit of a job: the objective of its kind plus its stretched run time.
 fn objective_ms(kind: &RequestKind, drawn: &DrawnJob) -> u64 {
     let chain_ms: u64 = drawn.work_ms.iter().sum();
     let stretched = Duration::from_millis(chain_ms).mul_f64(kind.stretch);
--- a/crates/sched/tests/overload/setup.rs
+++ b/crates/sched/tests/overload/setup.rs
@@ -1,20 +1,20 @@
-//! What the replay plays: workers, nodes that ask for advice, kinds of request, a disruption.
+//! The setup of a replay: workers, nodes that ask for advice, kinds of request and a disruption.
 
 use syc_fleet::RequestKind;
 use syc_fleet::Spread;
 use syc_sched::AdvicePolicy;
 use syc_types::Resources;
 
-/// Position of the gangs among the kinds of request.
+/// Index of the gangs among the kinds of request.
 pub const GANGS: usize = 0;
 
-/// Position of the patient single tasks.
+/// Index of the patient single tasks.
 pub const BATCH: usize = 1;
 
-/// Position of the urgent short tasks.
+/// Index of the urgent short tasks.
 pub const LOOKUPS: usize = 2;
 
-/// The workers, the nodes that ask for advice, and what comes in.
+/// The workers, the nodes that ask for advice, and the load.
 #[derive(Debug, Clone)]
 pub struct Setup {
     pub workers: u64,
@@ -24,18 +24,18 @@
     pub end_ms: u64,
 }
 
-/// What goes wrong for a while: nothing is looked at, and nodes can't ask for advice.
+/// A temporary disruption: there are no scheduling passes, and some nodes can't ask for advice.
 #[derive(Debug, Clone, Copy)]
 pub struct Disruption {
     pub from_ms: u64,
     pub until_ms: u64,
     pub absent_advisers: u32,
-    /// Factor of the urgent load.
+    /// Factor by which the urgent load increases.
     pub urgent_load_factor: f64,
 }
 
 impl Setup {
-    /// Hundreds of workers, of which the load takes 97% on average.
+    /// Hundreds of workers, with an average load of 97% of their capacity.
     pub fn large() -> Self {
         Self {
             workers: 350,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// More workers, and tasks that are larger against them, with a load of so many hundredths of their room.
+    /// More workers, and larger tasks relative to them, with a load of `load_percent` of their capacity.
     pub fn wide(load_percent: u32) -> Self {
         let kinds = [wide_gangs(), wide_batch(), wide_lookups()];
         let kinds = kinds.map(|kind| RequestKind {
@@ -63,10 +63,10 @@
     }
 }
 
-/// The load of the kinds below on 540 workers, in hundredths of their room.
+/// The load of the kinds below on 540 workers, in percent of their capacity.
 const WIDE_LOAD_PERCENT: f64 = 87.0;
 
-/// What each worker has.
+/// The capacity of each worker.
 pub fn capacity() -> Resources {
     Resources {
         cpu_millis: 32_000,
@@ -75,7 +75,7 @@
     }
 }
 
-/// Few and large, with dear advice: a call about one worker takes half a second, one in four is allowed.
+/// Few large gangs with expensive advice: a call about one worker takes half a second, and one in four is allowed.
 fn gangs() -> RequestKind {
     RequestKind {
         queue: "gangs",
@@ -99,7 +99,7 @@
     }
 }
 
-/// Patient single tasks, some of two steps, that mostly save their progress.
+/// Patient single tasks, some jobs with two steps, most of them checkpointed.
 fn batch() -> RequestKind {
     RequestKind {
         queue: "batch",
@@ -123,7 +123,7 @@
     }
 }
 
-/// Many urgent ones, with cheap advice.
+/// Many urgent tasks with cheap advice.
 fn lookups() -> RequestKind {
     RequestKind {
         queue: "lookups",
