--- a/crates/sched/src/misdirected.rs
+++ b/crates/sched/src/misdirected.rs
@@ -123,7 +123,7 @@
 
     /// Treats runs as ended if no new incarnation of their worker appeared before the longest lease ended.
     pub(crate) fn expire_misdirected(&mut self, now: Millis) {
-        let (over, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.misdirected)
+        let (expired, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.misdirected)
             .into_iter()
             .partition(|misdirected| misdirected.ended_at <= now);
         self.misdirected = waiting;
@@ -133,7 +133,7 @@
             run,
             held,
             ..
-        } in over
+        } in expired
         {
             if let Some((job, step, unit, _)) = self.locate(task)
                 && let Some(step) = self.jobs[job].steps.get_mut(step)
--- a/crates/sched/src/orders.rs
+++ b/crates/sched/src/orders.rs
@@ -62,8 +62,8 @@
         let Some(of_run) = worker.runs.get_mut(&(task, run)) else {
             return;
         };
-        of_run.copies = of_run.copies.saturating_sub(1);
-        if of_run.copies > 0 || of_run.reported {
+        of_run.start_copies = of_run.start_copies.saturating_sub(1);
+        if of_run.start_copies > 0 || of_run.reported {
             return;
         }
         // It goes elsewhere first.
@@ -85,7 +85,7 @@
             return;
         };
         // An earlier copy of the order may have been carried out: the reports tell.
-        let in_doubt = of_run.copies > 1 && refusal == StartRefusal::OldRun;
+        let in_doubt = of_run.start_copies > 1 && refusal == StartRefusal::OldRun;
         if in_doubt || of_run.reported {
             self.stop_run(key, task, run, StopReason::StartInDoubt, now);
             return;
@@ -107,7 +107,7 @@
         let retried = self.workers[key]
             .runs
             .get(&(task, run))
-            .is_some_and(|of_run| of_run.copies > 1);
+            .is_some_and(|of_run| of_run.start_copies > 1);
         if retried {
             // The first copy of the order may still be under way.
             self.stop_run(key, task, run, StopReason::StartInDoubt, now);
--- a/crates/sched/src/placement.rs
+++ b/crates/sched/src/placement.rs
@@ -188,7 +188,7 @@
         unit: usize,
     ) -> bool {
         let of_step = &self.jobs[job].steps[step];
-        let Some(bound) = of_step.spec.tasks_per_worker else {
+        let Some(limit) = of_step.spec.tasks_per_worker else {
             return true;
         };
         let mut tasks = self.workers[worker].count_runs_of(self.step_id(job, step));
@@ -199,7 +199,7 @@
             let here = reservation.workers.iter().filter(|(key, _)| *key == worker);
             tasks += here.map(|(_, count)| *count).sum::<u32>();
         }
-        tasks < bound
+        tasks < limit
     }
 
     /// Preempts less urgent runs on one worker and reserves the resources for a unit.
@@ -325,7 +325,7 @@
         let Some(reservation) = &of_step.units[unit].reservation else {
             return;
         };
-        let over = reservation.until <= now;
+        let expired = reservation.until <= now;
         let Some((worker, _)) = reservation.workers.first().copied() else {
             return;
         };
@@ -342,7 +342,7 @@
                 return;
             }
         }
-        if over || !usable {
+        if expired || !usable {
             self.release_reservation(job, step, unit);
         }
     }
@@ -453,8 +453,8 @@
         .runs
         .iter()
         .filter(|(_, of_run)| {
-            let saved = of_run.checkpointed && !of_run.gang;
-            of_run.phase == Phase::Running && saved && of_run.priority > priority
+            let is_preemptible = of_run.checkpointed && !of_run.gang;
+            of_run.phase == Phase::Running && is_preemptible && of_run.priority > priority
         })
         .collect();
     candidates.sort_by_key(|(_, of_run)| std::cmp::Reverse(of_run.resources.cpu_millis));
--- a/crates/sched/src/repeats.rs
+++ b/crates/sched/src/repeats.rs
@@ -75,7 +75,7 @@
             return;
         }
         of_run.orders += 1;
-        of_run.copies += 1;
+        of_run.start_copies += 1;
         of_run.ordered_at = now;
         of_run.in_flight = true;
         let retries = of_run.orders - 1;
--- a/crates/sched/src/reports.rs
+++ b/crates/sched/src/reports.rs
@@ -322,7 +322,7 @@
         let held = WorkerRun {
             phase: Phase::Running,
             orders: 0,
-            copies: 0,
+            start_copies: 0,
             in_flight: false,
             confirmed_at: Some(now),
             reported: true,
--- a/crates/sched/src/slowness.rs
+++ b/crates/sched/src/slowness.rs
@@ -204,10 +204,10 @@
     fn quarantine_slow(&mut self, key: WorkerKey, slowness: Slowness, now: Millis) {
         let worker = &mut self.workers[key];
         let until = now.plus(SLOW_QUARANTINE_MS);
-        let is_news = worker.slow_until <= now;
+        let is_newly_slow = worker.slow_until <= now;
         worker.slow_until = until;
         worker.quarantined_until = worker.quarantined_until.max(until);
-        if is_news {
+        if is_newly_slow {
             let (least, least_log) = slowness.least;
             let note = worker.note(WorkerNote::Slow {
                 slowness_percent: percent_of(slowness.log),
--- a/crates/sched/src/stale_capacity.rs
+++ b/crates/sched/src/stale_capacity.rs
@@ -14,7 +14,7 @@
 
 /// Maximum time between two reads that counts towards the expiry of registrations. After a longer gap the store may
 /// have been unavailable, in which case registrations outlive a worker that stopped refreshing them.
-const BETWEEN_READS_MS: u64 = 1_500;
+const READ_GAP_LIMIT_MS: u64 = 1_500;
 
 /// Progress of the reads of worker registrations.
 #[derive(Debug, Clone, Copy, Default)]
@@ -30,7 +30,7 @@
 pub(crate) struct StaleCapacity {
     since: Millis,
     /// Value of `readable_ms` at the first read that was requested after `since`.
-    read_from_ms: Option<u64>,
+    readable_at_first_read_ms: Option<u64>,
 }
 
 impl StaleCapacity {
@@ -39,7 +39,9 @@
         if read.asked_at < self.since {
             return false;
         }
-        let from_ms = *self.read_from_ms.get_or_insert(read.readable_ms);
+        let from_ms = *self
+            .readable_at_first_read_ms
+            .get_or_insert(read.readable_ms);
         read.readable_ms - from_ms >= told_within_ms
     }
 }
@@ -54,7 +56,7 @@
         }
         worker.stale_capacity = Some(StaleCapacity {
             since: now,
-            read_from_ms: None,
+            readable_at_first_read_ms: None,
         });
         let note = belief(worker, "room_in_doubt", now);
         self.actions.push(note);
@@ -66,8 +68,8 @@
     /// new work from it forever.
     pub(crate) fn workers_read(&mut self, asked_at: Millis, now: Millis) {
         let registrations = &mut self.registrations;
-        let between_ms = asked_at.since(registrations.asked_at);
-        registrations.readable_ms += between_ms.min(BETWEEN_READS_MS);
+        let gap_ms = asked_at.since(registrations.asked_at);
+        registrations.readable_ms += gap_ms.min(READ_GAP_LIMIT_MS);
         registrations.asked_at = asked_at;
         let told_within_ms = self.options.told_within_ms;
         for worker in self.workers.values_mut() {
--- a/crates/sched/src/suspects.rs
+++ b/crates/sched/src/suspects.rs
@@ -85,7 +85,7 @@
             now
         };
         let suspects = worker.crash_suspects(silent_at);
-        let is_one_of_many =
+        let has_shared_cause =
             self.count_simultaneous_silences(key, silent_at) >= SIMULTANEOUS_OTHERS;
         self.silences.push_back(silent_at);
         if self.silences.len() > SILENCES_LIMIT {
@@ -95,11 +95,11 @@
             .iter()
             .map(|(task, _)| self.unit_key(*task))
             .collect();
-        let is_one = units.len() == 1;
+        let is_single_unit = units.len() == 1;
         for (task, number) in suspects {
             let run = &self.workers[key].runs[&(task, number)];
-            let is_sudden = run.confirmed_ms(silent_at) <= SUDDEN_SILENCE_MS && !is_one_of_many;
-            let sole_suspect = is_one && (run.is_isolated() || is_sudden);
+            let is_sudden = run.confirmed_ms(silent_at) <= SUDDEN_SILENCE_MS && !has_shared_cause;
+            let sole_suspect = is_single_unit && (run.is_isolated() || is_sudden);
             let crash = Crash {
                 worker: id.clone(),
                 sole_suspect,
--- a/crates/sched/src/vms.rs
+++ b/crates/sched/src/vms.rs
@@ -93,22 +93,22 @@
     /// within the limit of their step, and the rest may complete. Returns whether nothing is left.
     pub(crate) fn evacuate_worker(&mut self, key: WorkerKey, now: Millis) -> bool {
         self.workers[key].evacuating = true;
-        let mut saved = Vec::new();
-        let mut lasting = Vec::new();
+        let mut checkpointed = Vec::new();
+        let mut long_running = Vec::new();
         for ((task, run), of_run) in &self.workers[key].runs {
             if of_run.phase != Phase::Running {
                 continue;
             }
             if of_run.checkpointed {
-                saved.push((*task, *run));
+                checkpointed.push((*task, *run));
             } else if of_run.long_running {
-                lasting.push((*task, *run));
+                long_running.push((*task, *run));
             }
         }
-        for (task, run) in saved {
+        for (task, run) in checkpointed {
             self.stop_run(key, task, run, StopReason::Emptying, now);
         }
-        for (task, run) in lasting {
+        for (task, run) in long_running {
             if self.may_interrupt(task.step, 1) {
                 self.stop_run(key, task, run, StopReason::Emptying, now);
             }
@@ -178,8 +178,8 @@
             let serving = runs.filter(|(_, run)| run.is_in_service());
             in_service += u32::try_from(serving.count()).unwrap_or(u32::MAX);
         }
-        let away = spec.tasks.saturating_sub(in_service);
+        let unavailable = spec.tasks.saturating_sub(in_service);
         let limit = spec.unavailable_limit.unwrap_or(1);
-        away.saturating_add(count) <= limit
+        unavailable.saturating_add(count) <= limit
     }
 }
--- a/crates/sched/src/worker.rs
+++ b/crates/sched/src/worker.rs
@@ -50,7 +50,7 @@
     /// Number of orders of the current kind (start or stop) sent so far.
     pub(crate) orders: u32,
     /// Number of copies of the start order that may still arrive or were carried out.
-    pub(crate) copies: u32,
+    pub(crate) start_copies: u32,
     /// Whether the latest order is still unanswered.
     pub(crate) in_flight: bool,
     /// Start of the current doubt about whether it runs. Only meaningful while the run is in doubt.
@@ -117,7 +117,7 @@
             held_since: now,
             ordered_at: now,
             orders: 1,
-            copies: 1,
+            start_copies: 1,
             in_flight: true,
             doubt_since: now,
             confirmed_at: None,
@@ -159,8 +159,8 @@
         let moved = self.percent != percent;
         self.reported = true;
         // A resumed run restores its checkpoint first, so its speed is measured from its first progress after that.
-        let counts = !self.resumed || (moved && !is_first);
-        if self.progress_baseline.is_none() && counts {
+        let starts_measuring = !self.resumed || (moved && !is_first);
+        if self.progress_baseline.is_none() && starts_measuring {
             self.progress_baseline = Some((now, percent));
         }
         if moved {
@@ -182,7 +182,11 @@
     /// Returns the number of orders sent since the doubt about it began.
     pub(crate) const fn orders_in_doubt(&self) -> u32 {
         let includes_starts = matches!(self.phase, Phase::Stopping) && self.confirmed_at.is_none();
-        let starts = if includes_starts { self.copies } else { 0 };
+        let starts = if includes_starts {
+            self.start_copies
+        } else {
+            0
+        };
         self.orders.saturating_add(starts)
     }
 
--- a/crates/sched/tests/core/crashes.rs
+++ b/crates/sched/tests/core/crashes.rs
@@ -53,11 +53,11 @@
 #[test_case(true; "long-running")]
 fn a_task_is_given_up_when_three_workers_have_crashed_under_it(long_running: bool) {
     let mut driver = Driver::new(4, 8);
-    let guilty = StepSpec {
+    let culprit = StepSpec {
         long_running,
         ..step(1, 1)
     };
-    driver.submit(1, policy(0), vec![guilty]);
+    driver.submit(1, policy(0), vec![culprit]);
     assert_eq!(count_crashes_until_failed(&mut driver, 1), 3);
     assert!(driver.settle().is_empty());
 }
@@ -66,12 +66,12 @@
 fn a_long_running_task_is_not_suspected_beside_a_recent_one() {
     let mut driver = Driver::new(1, 8);
     driver.submit(1, policy(0), vec![step(1, 1)]);
-    let innocent = driver.settle().remove(0);
+    let unrelated = driver.settle().remove(0);
     driver.pass(PROBATION_MS);
-    report_running(&mut driver, &[&innocent]);
+    report_running(&mut driver, &[&unrelated]);
     driver.submit(2, policy(0), vec![step(1, 1)]);
     driver.settle();
-    driver.crash(innocent.worker);
+    driver.crash(unrelated.worker);
     let kept = |id: u64| &driver.kept[&JobId(id)].steps[0].units[&0].crashes;
     assert!(kept(1).is_empty());
     let count = kept(2)[&0];
@@ -101,12 +101,12 @@
     }
     driver.submit(2, policy(0), vec![step(1, 1)]);
     let started = driver.settle();
-    let (guilty, other): (Vec<_>, Vec<_>) = started
+    let (culprit, other): (Vec<_>, Vec<_>) = started
         .into_iter()
         .partition(|start| start.task.step.job == JobId(1));
-    assert_eq!((guilty.len(), other.len()), (1, 0), "one at a time");
+    assert_eq!((culprit.len(), other.len()), (1, 0), "one at a time");
     driver.pass(PROBATION_MS);
-    report_running(&mut driver, &[&guilty[0]]);
+    report_running(&mut driver, &[&culprit[0]]);
     assert_eq!(
         driver.settle().len(),
         1,
@@ -144,10 +144,10 @@
     let started = driver.settle();
     assert_eq!(started.len(), 4);
     driver.crash(started[0].worker);
-    let scout = driver.settle();
-    assert_eq!(scout.len(), 1);
+    let probe = driver.settle();
+    assert_eq!(probe.len(), 1);
     driver.pass(PROBATION_MS);
-    report_running(&mut driver, &[&scout[0]]);
+    report_running(&mut driver, &[&probe[0]]);
     assert_eq!(driver.settle().len(), 3);
 }
 
@@ -157,8 +157,8 @@
     driver.submit(1, policy(0), vec![step(4, 2)]);
     let started = driver.settle();
     driver.crash(started[0].worker);
-    let scout = driver.settle().remove(0);
-    driver.end(&scout, RunEnd::Done, &[]);
+    let probe = driver.settle().remove(0);
+    driver.end(&probe, RunEnd::Done, &[]);
     driver.record();
     assert_eq!(driver.settle().len(), 3);
 }
@@ -336,20 +336,20 @@
     };
     driver.submit(1, policy(0), vec![gang.clone()]);
     let started = driver.settle();
-    let (guilty, other) = (&started[0], &started[1]);
-    assert_ne!(guilty.worker, other.worker);
+    let (culprit, other) = (&started[0], &started[1]);
+    assert_ne!(culprit.worker, other.worker);
     driver.apply(Event::RenewalFailed {
-        worker: guilty.worker,
+        worker: culprit.worker,
     });
     driver.end(other, RunEnd::Alone, &[]);
     driver.record();
     let left = driver.kept[&JobId(1)].clone();
     let name = driver
         .scheduler
-        .name_of(guilty.worker)
+        .name_of(culprit.worker)
         .expect("a registered worker");
     let unit = &left.steps[0].units[&0];
-    assert_eq!(unit.accounted, guilty.run);
+    assert_eq!(unit.accounted, culprit.run);
 
     let mut successor = Driver::untried(0, 2);
     successor.restore(1, policy(0), vec![gang], Some(&left));
@@ -365,7 +365,7 @@
     successor.apply(Event::Replaced { worker: gone[0] });
     successor.record();
     let crashes = &successor.kept[&JobId(1)].steps[0].units[&0].crashes;
-    let member = guilty.task.index;
+    let member = culprit.task.index;
     assert_eq!(crashes.keys().copied().collect::<Vec<_>>(), [member]);
     assert_eq!(crashes[&member].workers, 1);
 }
--- a/crates/sched/tests/core/review.rs
+++ b/crates/sched/tests/core/review.rs
@@ -94,7 +94,7 @@
         }
     }
     simulation.run_for(2 * Options::default().doubt_limit_ms);
-    simulation.beliefs_of(sound).contains(&"lease_let_lapse")
+    simulation.beliefs_about(sound).contains(&"lease_let_lapse")
 }
 
 /// A reset comes within a millisecond, and so may the next report of a worker that lists an end.
--- a/crates/sched/tests/core/simulation.rs
+++ b/crates/sched/tests/core/simulation.rs
@@ -111,7 +111,7 @@
     }
 
     /// Returns the changes of belief about a worker, in order.
-    pub fn beliefs_of(&self, index: usize) -> Vec<&'static str> {
+    pub fn beliefs_about(&self, index: usize) -> Vec<&'static str> {
         let name = format!("w-{index}");
         let beliefs = self.driver.beliefs.iter();
         let of_worker = beliefs.filter(|(worker, _)| worker.as_str() == name);
@@ -143,12 +143,12 @@
                 return;
             }
             for start in starts {
-                let taken = self.start(start.worker, start.task, start.run);
+                let accepted = self.start(start.worker, start.task, start.run);
                 self.driver.apply(Event::StartAnswered {
                     worker: start.worker,
                     task: start.task,
                     run: start.run,
-                    answer: if taken {
+                    answer: if accepted {
                         StartAnswer::Started
                     } else {
                         StartAnswer::InDoubt
@@ -156,12 +156,12 @@
                 });
             }
             for stop in stops {
-                let taken = self.stop(stop.worker, stop.task, stop.run);
+                let accepted = self.stop(stop.worker, stop.task, stop.run);
                 self.driver.apply(Event::StopAnswered {
                     worker: stop.worker,
                     task: stop.task,
                     run: stop.run,
-                    taken,
+                    taken: accepted,
                 });
             }
         }
@@ -213,10 +213,10 @@
         let now = self.driver.now;
         for state in self.states.values_mut() {
             let lapsed = state.lease_until <= now;
-            let over = |ends_at: &Millis| lapsed || *ends_at <= now;
+            let has_ended = |ends_at: &Millis| lapsed || *ends_at <= now;
             let (ended, running): (Vec<_>, Vec<_>) = std::mem::take(&mut state.running)
                 .into_iter()
-                .partition(|(_, ends_at)| over(ends_at));
+                .partition(|(_, ends_at)| has_ended(ends_at));
             state.running = running.into_iter().collect();
             for ((task, run), ends_at) in ended {
                 let end = if ends_at <= now {
--- a/crates/sched/tests/core/slow.rs
+++ b/crates/sched/tests/core/slow.rs
@@ -132,11 +132,11 @@
 #[test]
 fn tasks_with_a_data_rack_do_not_count_towards_slowness() {
     let mut driver = Driver::new(4, 8);
-    let near = StepSpec {
+    let with_data_rack = StepSpec {
         data_rack: Some("r-9".into()),
         ..tasks_of_four_seconds()
     };
-    run_for_a_second(&mut driver, &near, 6);
+    run_for_a_second(&mut driver, &with_data_rack, 6);
     assert_eq!(driver.stops, []);
 }
 
--- a/crates/sched/tests/core/unanswered_orders.rs
+++ b/crates/sched/tests/core/unanswered_orders.rs
@@ -151,8 +151,8 @@
     driver.submit(2, policy(0), vec![step(2, 2)]);
     driver.pass(10);
     driver.schedule();
-    let untaken = std::mem::take(&mut driver.starts);
-    assert_eq!((serving.len(), untaken.len()), (2, 2));
+    let unanswered = std::mem::take(&mut driver.starts);
+    assert_eq!((serving.len(), unanswered.len()), (2, 2));
     (driver, serving)
 }
 
@@ -199,14 +199,14 @@
     let mut simulation = simulation_with_unresponsive_worker(2_000);
     simulation.run_for(8_000);
     assert_eq!(
-        simulation.beliefs_of(0),
+        simulation.beliefs_about(0),
         ["takes_no_orders", "takes_orders"]
     );
-    assert_eq!(simulation.beliefs_of(1), Vec::<&str>::new());
+    assert_eq!(simulation.beliefs_about(1), Vec::<&str>::new());
     let mut simulation = simulation_with_unresponsive_worker(FOREVER_MS);
     simulation.run_for(40_000);
     assert_eq!(
-        simulation.beliefs_of(0),
+        simulation.beliefs_about(0),
         ["takes_no_orders", "lease_let_lapse", "lease_renewed"]
     );
 }
@@ -274,8 +274,8 @@
     driver.pass(10);
     driver.submit(1, policy(0), vec![step(3, 1)]);
     driver.schedule();
-    let untaken = std::mem::take(&mut driver.starts);
-    for start in &untaken {
+    let unanswered = std::mem::take(&mut driver.starts);
+    for start in &unanswered {
         answer(&mut driver, start, StartAnswer::InDoubt);
     }
     let patient = StepSpec {
--- a/crates/sched/tests/overload/replay.rs
+++ b/crates/sched/tests/overload/replay.rs
@@ -188,10 +188,10 @@
     }
 
     fn refresh_advisers(&mut self) {
-        let away = self
+        let absent = self
             .active_disruption()
             .map_or(0, |disruption| disruption.absent_advisers);
-        for number in 1..self.setup.advisers - away {
+        for number in 1..self.setup.advisers - absent {
             self.advisers
                 .meet(&format_smolstr!("node-{number:02}"), self.now);
         }
