--- a/crates/sched/tests/core/restarts.rs
+++ b/crates/sched/tests/core/restarts.rs
@@ -18,8 +18,8 @@
 /// Creates a scheduler with the first incarnation of one worker.
 fn driver_with_worker() -> (Driver, WorkerKey) {
     let mut driver = Driver::new(0, 8);
-    let life = register_incarnation(&mut driver, 1);
-    (driver, life)
+    let incarnation = register_incarnation(&mut driver, 1);
+    (driver, incarnation)
 }
 
 /// Registers an incarnation of the worker.
