--- a/crates/cell/src/adviser.rs
+++ b/crates/cell/src/adviser.rs
@@ -19,7 +19,7 @@
 use crate::unreadable::Source;
 
 /// Answers a scheduler that asks for advice.
-pub(crate) async fn answer<P>(node: &Rc<Node<P>>, query: AdviceQuery) -> CellBody
+pub(crate) async fn handle_query<P>(node: &Rc<Node<P>>, query: AdviceQuery) -> CellBody
 where
     P: Platform,
 {
@@ -32,8 +32,8 @@
     let advice = node.platform.advise(step, &workers, query.timeout_ms).await;
     let reply = match advice {
         Ok(advice) => {
-            node.note_skipped(Source::Advice, "advice", &advice.skipped);
-            reply_of(&advice)
+            node.report_skipped(Source::Advice, "advice", &advice.skipped);
+            encode_reply(&advice)
         }
         Err(error) => {
             log::advice_failed(step, &error);
@@ -43,7 +43,7 @@
     CellBody::AdviceReply(reply)
 }
 
-fn reply_of(advice: &Advice) -> AdviceReply {
+fn encode_reply(advice: &Advice) -> AdviceReply {
     let allowed = advice.allowed.iter().map(|(worker, ticket)| AllowedWorker {
         worker: worker.as_str().to_owned(),
         ticket: ticket.to_string(),
@@ -56,7 +56,7 @@
 }
 
 /// Reads what a node answered to the scheduler.
-pub(crate) fn advice_of(reply: CellBody) -> Result<Advice, AdviceError> {
+pub(crate) fn decode_reply(reply: CellBody) -> Result<Advice, AdviceError> {
     let failed = |text| AdviceError(SmolStr::new_static(text));
     let CellBody::AdviceReply(reply) = reply else {
         return Err(failed("the node answered something else"));
--- a/crates/cell/src/holders.rs
+++ b/crates/cell/src/claims.rs
@@ -28,107 +28,107 @@
 const RETRY_MS: u64 = 60;
 
 /// Longest wait of a read for news: it also shows that the connection still works.
-const WAIT_MS: u64 = 800;
+const LONG_POLL_MS: u64 = 800;
 
 /// A scheduler that is heard of otherwise is waited for so many times as long.
-const SILENCES_IN_TOUCH: u64 = 4;
+const REACHABLE_TIMEOUT_FACTOR: u64 = 4;
 
 /// Shortest wait of a read.
-const SHORT_WAIT_MS: u64 = 20;
+const MIN_POLL_MS: u64 = 20;
 
 /// A holder of which nothing was read for this long gives no orders any more.
-const UNPROVING_MS: u64 = 15_000;
+const UNPROVEN_HOLDER_MS: u64 = 15_000;
 
 /// What a node has read of the claims.
 #[derive(Debug, Default)]
-struct Watch {
+struct ClaimLog {
     /// Offset to read on from; none before the first read.
     position: Option<u64>,
     /// The newest claim, unless its holder gave the role up.
     holder: Option<Holder>,
     /// Token of the newest claim whose holder gave the role up.
-    released: u64,
+    released_token: u64,
     /// When the newest heartbeat was read.
-    seen_at: Millis,
+    heartbeat_seen_at: Millis,
     /// When the first configuration was known; without one, no node may claim.
     configured_at: Option<Millis>,
     /// When the newest record was read of a holder that starts jobs without a proof.
-    unproving_at: Option<Millis>,
+    unproven_seen_at: Option<Millis>,
 }
 
 /// Follows the claims, and claims when there is no scheduler.
-pub(crate) async fn watch_holders<P>(node: Rc<Node<P>>)
+pub(crate) async fn follow_claims<P>(node: Rc<Node<P>>)
 where
     P: Platform,
 {
-    let mut watch = Watch {
-        seen_at: now(),
-        ..Watch::default()
+    let mut claims = ClaimLog {
+        heartbeat_seen_at: now(),
+        ..ClaimLog::default()
     };
     loop {
-        read_news(&node, &mut watch).await;
-        watch.note_configured(&node);
-        show_holder(&node, &watch);
-        if claim_is_due(&node, &watch) {
-            claim(&node, &mut watch).await;
+        poll_claims(&node, &mut claims).await;
+        claims.record_configured(&node);
+        update_holder(&node, &claims);
+        if claim_is_due(&node, &claims) {
+            claim(&node, &mut claims).await;
         }
     }
 }
 
-async fn read_news<P>(node: &Rc<Node<P>>, watch: &mut Watch)
+async fn poll_claims<P>(node: &Rc<Node<P>>, claims: &mut ClaimLog)
 where
     P: Platform,
 {
-    let Some(from) = watch.position else {
+    let Some(from) = claims.position else {
         match node.newest(Topic::Holders, 0).await {
             Ok(newest) => {
                 for (offset, record) in &newest.records {
-                    watch.take(node, *offset, record);
+                    claims.apply(node, *offset, record);
                 }
-                watch.position = Some(newest.read_from);
+                claims.position = Some(newest.read_from);
             }
             Err(_noted) => pause(RETRY_MS).await,
         }
         return;
     };
-    let wait_ms = wait_ms(node, watch);
+    let wait_ms = wait_ms(node, claims);
     let read = tokio::select! {
         read = node.read(Topic::Holders, 0, from, wait_ms) => Some(read),
-        () = node.holder_news.notified() => None,
+        () = node.holder_changed.notified() => None,
     };
     match read {
         Some(Ok(page)) => {
             let mut offset = page.first;
             for record in &page.records {
-                watch.take(node, offset, record);
+                claims.apply(node, offset, record);
                 offset += 1;
             }
-            watch.position = Some(offset);
+            claims.position = Some(offset);
         }
-        Some(Err(ReadError::Gone { .. })) => watch.position = None,
+        Some(Err(ReadError::Gone { .. })) => claims.position = None,
         Some(Err(_noted)) => pause(RETRY_MS).await,
         None => {}
     }
 }
 
 /// Returns how long a read may wait without a due claim coming late.
-fn wait_ms<P>(node: &Rc<Node<P>>, watch: &Watch) -> u64
+fn wait_ms<P>(node: &Rc<Node<P>>, claims: &ClaimLog) -> u64
 where
     P: Platform,
 {
-    let due_at = quiet_since(node, watch).plus(patience_ms(node, watch));
+    let due_at = silent_since(node, claims).plus(election_timeout_ms(node, claims));
     let until_due_ms = due_at.since(now());
-    until_due_ms.clamp(SHORT_WAIT_MS, WAIT_MS)
+    until_due_ms.clamp(MIN_POLL_MS, LONG_POLL_MS)
 }
 
-impl Watch {
+impl ClaimLog {
     /// Says whether no holder that starts jobs without a proof can give orders any more.
     fn predecessors_prove(&self) -> bool {
-        self.unproving_at
-            .is_none_or(|at| now().since(at) > UNPROVING_MS)
+        self.unproven_seen_at
+            .is_none_or(|at| now().since(at) > UNPROVEN_HOLDER_MS)
     }
 
-    fn note_configured<P>(&mut self, node: &Node<P>)
+    fn record_configured<P>(&mut self, node: &Node<P>)
     where
         P: Platform,
     {
@@ -137,7 +137,7 @@
         }
     }
 
-    fn take<P>(&mut self, node: &Node<P>, offset: u64, record: &Record)
+    fn apply<P>(&mut self, node: &Node<P>, offset: u64, record: &Record)
     where
         P: Platform,
     {
@@ -148,24 +148,24 @@
             Ok(read) => read,
             Err(error) => {
                 let reason = error.to_string();
-                node.note_unreadable(Source::Holders, &record.key, &reason);
+                node.report_unreadable(Source::Holders, &record.key, &reason);
                 return;
             }
         };
         if !read.proves {
-            self.unproving_at = Some(now());
+            self.unproven_seen_at = Some(now());
         }
         let is_claim = read.token == 0;
         let token = if is_claim { offset + 1 } else { read.token };
         let known = self.holder.as_ref().map_or(0, |holder| holder.token);
-        if token < known || token <= self.released {
+        if token < known || token <= self.released_token {
             // A heartbeat of a predecessor, or one that came after its last word.
             return;
         }
         if read.released {
-            self.released = token;
+            self.released_token = token;
         }
-        self.seen_at = now();
+        self.heartbeat_seen_at = now();
         self.holder = (!read.released).then_some(Holder {
             node: read.node,
             address: read.address,
@@ -179,73 +179,75 @@
 ///
 /// Nodes wait for the first configuration at the same time. Were that wait a part of their patience, it would be over
 /// for all of them at once, and a node with a thin link would be as likely to be chosen as any.
-fn quiet_since<P>(node: &Rc<Node<P>>, watch: &Watch) -> Millis
+fn silent_since<P>(node: &Rc<Node<P>>, claims: &ClaimLog) -> Millis
 where
     P: Platform,
 {
-    let configured_at = watch.configured_at.unwrap_or_else(now);
-    let heard_at = watch.seen_at.max(node.store_failed_at());
-    heard_at.max(configured_at)
+    let configured_at = claims.configured_at.unwrap_or_else(now);
+    let last_sign_at = claims.heartbeat_seen_at.max(node.store_failed_at());
+    last_sign_at.max(configured_at)
 }
 
 /// Returns how long a node waits for a heartbeat before it claims.
-fn patience_ms<P>(node: &Rc<Node<P>>, watch: &Watch) -> u64
+fn election_timeout_ms<P>(node: &Rc<Node<P>>, claims: &ClaimLog) -> u64
 where
     P: Platform,
 {
     let timing = &node.settings.timing;
-    let spread_ms = node.incarnation % timing.claim_spread_ms.max(1);
+    let jitter_ms = node.incarnation % timing.claim_jitter_ms.max(1);
     let delay_ms = node.settings.claim_delay_ms();
-    let silence_ms = match &watch.holder {
+    let heartbeat_timeout_ms = match &claims.holder {
         None => 0,
         // An earlier incarnation of this very node held the role, and it is over.
-        Some(holder) if is_earlier_incarnation(node, holder) => 0,
-        Some(_) if node.holder_gone.get() => timing.gone_silence_ms,
+        Some(holder) if is_own_predecessor(node, holder) => 0,
+        Some(_) if node.holder_suspected.get() => timing.suspected_heartbeat_timeout_ms,
         // Its heartbeats are late where the store is slow.
-        Some(_) if is_in_touch(node) => timing.silence_ms * SILENCES_IN_TOUCH,
-        Some(_) => timing.silence_ms,
+        Some(_) if is_scheduler_reachable(node) => {
+            timing.heartbeat_timeout_ms * REACHABLE_TIMEOUT_FACTOR
+        }
+        Some(_) => timing.heartbeat_timeout_ms,
     };
-    silence_ms + spread_ms + delay_ms
+    heartbeat_timeout_ms + jitter_ms + delay_ms
 }
 
 /// Says whether the scheduler itself tells this node that it is there and that the store answers it.
-fn is_in_touch<P>(node: &Node<P>) -> bool
+fn is_scheduler_reachable<P>(node: &Node<P>) -> bool
 where
     P: Platform,
 {
     let link = node.link.borrow();
-    link.as_ref().is_some_and(|link| link.is_sound())
+    link.as_ref().is_some_and(|link| link.is_healthy())
 }
 
-fn is_earlier_incarnation<P>(node: &Node<P>, holder: &Holder) -> bool
+fn is_own_predecessor<P>(node: &Node<P>, holder: &Holder) -> bool
 where
     P: Platform,
 {
     holder.node == node.settings.name && holder.incarnation != node.incarnation
 }
 
-fn claim_is_due<P>(node: &Rc<Node<P>>, watch: &Watch) -> bool
+fn claim_is_due<P>(node: &Rc<Node<P>>, claims: &ClaimLog) -> bool
 where
     P: Platform,
 {
     let now = now();
-    let is_able = watch.position.is_some()
+    let may_claim = claims.position.is_some()
         && node.store_answers()
         && node.configuration().is_some()
         && !node.stopping.get()
         && node.leader().is_none()
         && node.claim_not_before.get() <= now;
-    is_able && now.since(quiet_since(node, watch)) >= patience_ms(node, watch)
+    may_claim && now.since(silent_since(node, claims)) >= election_timeout_ms(node, claims)
 }
 
-async fn claim<P>(node: &Rc<Node<P>>, watch: &mut Watch)
+async fn claim<P>(node: &Rc<Node<P>>, claims: &mut ClaimLog)
 where
     P: Platform,
 {
-    let Some(end) = watch.position else {
+    let Some(end) = claims.position else {
         return;
     };
-    let silent_ms = now().since(watch.seen_at);
+    let silent_ms = now().since(claims.heartbeat_seen_at);
     let record = records::holder(&HolderRecord {
         node: node.settings.name.clone(),
         address: node.settings.peer_address.to_string().into(),
@@ -260,12 +262,12 @@
         .await
     {
         Ok(appended) => {
-            log::chosen(appended.offset + 1, watch.holder.as_ref(), silent_ms);
-            watch.take(node, appended.offset, &record);
-            watch.position = Some(appended.end);
-            show_holder(node, watch);
+            log::claim_won(appended.offset + 1, claims.holder.as_ref(), silent_ms);
+            claims.apply(node, appended.offset, &record);
+            claims.position = Some(appended.end);
+            update_holder(node, claims);
         }
-        Err(error @ AppendError::EndsElsewhere { .. }) => log::claim_lost(&error),
+        Err(error @ AppendError::EndMismatch { .. }) => log::claim_lost(&error),
         Err(error) => {
             // If it was carried out after all, the claim will be read like any other.
             log::claim_lost(&error);
@@ -275,18 +277,18 @@
 }
 
 /// Lets the node act on who is the scheduler now.
-fn show_holder<P>(node: &Rc<Node<P>>, watch: &Watch)
+fn update_holder<P>(node: &Rc<Node<P>>, claims: &ClaimLog)
 where
     P: Platform,
 {
     let known = node.holder.borrow().clone();
-    if known == watch.holder {
+    if known == claims.holder {
         return;
     }
-    node.holder.borrow_mut().clone_from(&watch.holder);
-    node.holder_gone.set(false);
+    node.holder.borrow_mut().clone_from(&claims.holder);
+    node.holder_suspected.set(false);
     let leading = node.leader();
-    let own = watch
+    let own = claims
         .holder
         .as_ref()
         .filter(|holder| holder.incarnation == node.incarnation);
@@ -297,10 +299,10 @@
     }
     match own {
         Some(own) if node.leader().is_none() => {
-            Leader::start(node, own.token, watch.predecessors_prove());
+            Leader::start(node, own.token, claims.predecessors_prove());
         }
         Some(_) => {}
-        None => log::holder(watch.holder.as_ref()),
+        None => log::holder_changed(claims.holder.as_ref()),
     }
-    node.holder_news.notify_waiters();
+    node.holder_changed.notify_waiters();
 }
--- a/crates/cell/src/clock.rs
+++ b/crates/cell/src/clock.rs
@@ -24,30 +24,30 @@
 
 /// Where a node reads the time of day. It may jump; tests make it.
 #[derive(Debug, Clone, Default)]
-pub struct DayClock {
-    shift_ms: Arc<AtomicI64>,
+pub struct WallClock {
+    offset_ms: Arc<AtomicI64>,
 }
 
-impl DayClock {
+impl WallClock {
     /// Returns the time of day.
     #[must_use]
     pub fn read(&self) -> TimeOfDay {
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
         let read_ms = since.map_or(0, |since| u64::try_from(since.as_millis()).unwrap_or(0));
-        TimeOfDay(read_ms.saturating_add_signed(self.shift_ms.load(Ordering::Relaxed)))
+        TimeOfDay(read_ms.saturating_add_signed(self.offset_ms.load(Ordering::Relaxed)))
     }
 
     /// Sets how far it is off from the clock of the VM.
-    pub fn set_shift_ms(&self, shift_ms: i64) {
-        self.shift_ms.store(shift_ms, Ordering::Relaxed);
+    pub fn set_offset_ms(&self, offset_ms: i64) {
+        self.offset_ms.store(offset_ms, Ordering::Relaxed);
     }
 }
 
 /// Clocks that are off by as much are the same for a node.
-impl PartialEq for DayClock {
+impl PartialEq for WallClock {
     fn eq(&self, other: &Self) -> bool {
-        let shift_ms = |clock: &Self| clock.shift_ms.load(Ordering::Relaxed);
-        shift_ms(self) == shift_ms(other)
+        let offset_ms = |clock: &Self| clock.offset_ms.load(Ordering::Relaxed);
+        offset_ms(self) == offset_ms(other)
     }
 }
 
--- a/crates/cell/src/day.rs
+++ b/crates/cell/src/clock_agreement.rs
@@ -12,36 +12,36 @@
 use syc_types::TimeOfDay;
 
 /// Clocks that went apart by less are followed at once: none runs as fast as another.
-const SLEW_MS: u64 = 250;
+const MAX_SLEW_MS: u64 = 250;
 
 /// A step counts once it has lasted this long.
-const SETTLE_MS: u64 = 30_000;
+const STEP_SETTLE_MS: u64 = 30_000;
 
 /// A node that has not told its time of day for this long is not counted: many contacts have failed.
-const FRESH_MS: u64 = 3_000;
+const REPORT_MAX_AGE_MS: u64 = 3_000;
 
 /// A time of day, and how many clocks it rests on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct AgreedDay {
+pub struct AgreedTime {
     /// The time of day.
-    pub day: DayAnchor,
+    pub anchor: DayAnchor,
     /// Clocks that were heard, at most at any time.
     pub clocks: u32,
 }
 
 /// Follows the clocks of all nodes.
 #[derive(Debug, Clone, Default)]
-pub struct CellDay {
-    told: BTreeMap<SmolStr, DayAnchor>,
-    agreed: Option<AgreedDay>,
+pub struct ClockAgreement {
+    reports: BTreeMap<SmolStr, DayAnchor>,
+    agreed: Option<AgreedTime>,
     /// The first look at which the clocks showed something else.
-    step: Option<DayAnchor>,
+    pending_step: Option<DayAnchor>,
 }
 
-impl CellDay {
+impl ClockAgreement {
     /// Goes on from what a predecessor believed, where that was heard.
     #[must_use]
-    pub fn after(agreed: Option<AgreedDay>) -> Self {
+    pub fn resume(agreed: Option<AgreedTime>) -> Self {
         Self {
             agreed,
             ..Self::default()
@@ -49,51 +49,52 @@
     }
 
     /// Takes what the clock of another node shows.
-    pub fn note(&mut self, node: SmolStr, day: DayAnchor) {
-        self.told.insert(node, day);
+    pub fn report(&mut self, node: SmolStr, day: DayAnchor) {
+        self.reports.insert(node, day);
     }
 
     /// Takes what the scheduler's own clock shows, and returns what counts.
-    pub fn look(&mut self, own: DayAnchor) -> AgreedDay {
-        let seen = self.middle(own);
+    pub fn update(&mut self, own: DayAnchor) -> AgreedTime {
+        let seen = self.median(own);
         let known = self.agreed.filter(|known| seen.clocks <= known.clocks);
         let Some(known) = known else {
             // What more clocks agree on counts at once.
-            return self.take(seen);
+            return self.accept(seen);
         };
-        let followed = AgreedDay {
-            day: seen.day,
+        let followed = AgreedTime {
+            anchor: seen.anchor,
             ..known
         };
-        if known.day.differs_ms(seen.day) <= SLEW_MS {
-            return self.take(followed);
+        if known.anchor.differs_ms(seen.anchor) <= MAX_SLEW_MS {
+            return self.accept(followed);
         }
         let same_step = self
-            .step
-            .filter(|first| first.differs_ms(seen.day) <= SLEW_MS);
-        let first = *self.step.insert(same_step.unwrap_or(seen.day));
-        if seen.day.at.since(first.at) >= SETTLE_MS {
-            return self.take(followed);
+            .pending_step
+            .filter(|first| first.differs_ms(seen.anchor) <= MAX_SLEW_MS);
+        let first = *self.pending_step.insert(same_step.unwrap_or(seen.anchor));
+        if seen.anchor.at.since(first.at) >= STEP_SETTLE_MS {
+            return self.accept(followed);
         }
         known
     }
 
-    fn take(&mut self, agreed: AgreedDay) -> AgreedDay {
-        self.step = None;
+    fn accept(&mut self, agreed: AgreedTime) -> AgreedTime {
+        self.pending_step = None;
         self.agreed = Some(agreed);
         agreed
     }
 
     /// Returns the time of day in the middle; of two, the earlier, so that nothing starts before its time.
-    fn middle(&mut self, own: DayAnchor) -> AgreedDay {
+    fn median(&mut self, own: DayAnchor) -> AgreedTime {
         let now = own.at;
-        self.told.retain(|_, day| now.since(day.at) <= FRESH_MS);
-        let told = self.told.values().map(|day| day.day_at(now));
-        let mut days: Vec<TimeOfDay> = told.collect();
+        self.reports
+            .retain(|_, day| now.since(day.at) <= REPORT_MAX_AGE_MS);
+        let reported = self.reports.values().map(|day| day.day_at(now));
+        let mut days: Vec<TimeOfDay> = reported.collect();
         days.push(own.day);
         days.sort_unstable();
-        AgreedDay {
-            day: DayAnchor {
+        AgreedTime {
+            anchor: DayAnchor {
                 at: now,
                 day: days[(days.len() - 1) / 2],
             },
@@ -103,7 +104,7 @@
 }
 
 /// Returns what another node told of the time of day; none where it told nothing.
-pub(crate) fn told_day(at: Millis, day_ms: u64) -> Option<DayAnchor> {
+pub(crate) fn reported_anchor(at: Millis, day_ms: u64) -> Option<DayAnchor> {
     let day = TimeOfDay(day_ms);
     (day_ms > 0).then_some(DayAnchor { at, day })
 }
--- a/crates/cell/src/contact.rs
+++ b/crates/cell/src/contact.rs
@@ -31,13 +31,13 @@
 
 /// A scheduler that has had no answer of the store for this long, while another node has, is taken to
 /// be turned away: two heartbeats and their repeats have failed by then.
-const TURNED_AWAY_MS: u64 = 300;
+const STORE_UNREACHABLE_MS: u64 = 300;
 
 /// A scheduler that said something within this time is there: a few calls.
-const SOUND_MS: u64 = 600;
+const HEALTHY_WITHIN_MS: u64 = 600;
 
 /// Calls without an answer after which the scheduler is suspected to be gone.
-const MISSES_OF_GONE: u32 = 2;
+const SUSPECTED_MISSES: u32 = 2;
 
 /// The link to the node that is the scheduler.
 #[derive(Debug)]
@@ -51,7 +51,7 @@
     /// When it last answered.
     answered_at: Cell<Millis>,
     /// When it gave that answer, on its own clock.
-    heard_at: Cell<Millis>,
+    remote_answered_at: Cell<Millis>,
     answers: Cell<bool>,
     /// Calls in a row without an answer.
     misses: Cell<u32>,
@@ -66,20 +66,20 @@
             store_answers: Cell::new(false),
             append_ms: Cell::new(0),
             answered_at: Cell::new(now()),
-            heard_at: Cell::new(Millis(0)),
+            remote_answered_at: Cell::new(Millis(0)),
             answers: Cell::new(true),
             misses: Cell::new(0),
         })
     }
 
     /// Says whether the scheduler's node can append for this one.
-    pub(crate) fn relays(&self) -> bool {
+    pub(crate) fn can_relay(&self) -> bool {
         self.store_answers.get() && self.answers.get()
     }
 
     /// Says whether the scheduler has just said that it is there, and that the store answers it.
-    pub(crate) fn is_sound(&self) -> bool {
-        self.relays() && now().since(self.answered_at.get()) < SOUND_MS
+    pub(crate) fn is_healthy(&self) -> bool {
+        self.can_relay() && now().since(self.answered_at.get()) < HEALTHY_WITHIN_MS
     }
 
     /// Returns the time that an append takes at the scheduler's node, as it told last.
@@ -89,7 +89,7 @@
 
     /// Calls the scheduler's node about something that may take it long. That there is no answer in time says
     /// nothing of the link then.
-    pub(crate) async fn call_patiently(
+    pub(crate) async fn call_without_reset(
         &self,
         query: CellBody,
         timeout_ms: u64,
@@ -132,18 +132,18 @@
 }
 
 /// Tells the scheduler again and again that this node is there, and hears whether it is.
-pub(crate) async fn keep_contact<P>(node: Rc<Node<P>>)
+pub(crate) async fn run_contact_loop<P>(node: Rc<Node<P>>)
 where
     P: Platform,
 {
     loop {
         let link = current_link(&node);
         if let Some(link) = link {
-            contact(&node, &link).await;
+            contact_scheduler(&node, &link).await;
         }
         tokio::select! {
-            () = pause(node.settings.timing.contact_ms) => {}
-            () = node.holder_news.notified() => {}
+            () = pause(node.settings.timing.contact_interval_ms) => {}
+            () = node.holder_changed.notified() => {}
         }
     }
 }
@@ -154,8 +154,8 @@
     P: Platform,
 {
     let holder = node.holder.borrow().clone();
-    let of_other = holder.filter(|holder| holder.incarnation != node.incarnation);
-    let Some(holder) = of_other else {
+    let other = holder.filter(|holder| holder.incarnation != node.incarnation);
+    let Some(holder) = other else {
         node.link.borrow_mut().take();
         return None;
     };
@@ -167,7 +167,7 @@
     link.clone()
 }
 
-async fn contact<P>(node: &Rc<Node<P>>, link: &HolderLink)
+async fn contact_scheduler<P>(node: &Rc<Node<P>>, link: &HolderLink)
 where
     P: Platform,
 {
@@ -176,15 +176,15 @@
         address: node.settings.peer_address.to_string(),
         store_answers: node.store_answers(),
         token: link.token,
-        day_ms: node.read_day().day.0,
-        heard_at_ms: link.heard_at.get().0,
+        day_ms: node.read_wall_clock().day.0,
+        heard_at_ms: link.remote_answered_at.get().0,
     });
     let timeout_ms = node.settings.timing.contact_timeout_ms;
     let reply = link.call(query, timeout_ms).await;
     if let Ok(CellBody::ContactReply(reply)) = &reply {
         let partitions = node.settings.job_partitions();
         node.partition.set(reply.partition % partitions);
-        node.take_agreed_day(reply);
+        node.record_reported_time(reply);
         link.append_ms.set(reply.append_ms);
     }
     let (answers, store_answers) = match &reply {
@@ -200,61 +200,61 @@
         link.answered_at.set(now());
     }
     if let Ok(CellBody::ContactReply(reply)) = &reply {
-        link.heard_at.set(Millis(reply.answered_at_ms));
+        link.remote_answered_at.set(Millis(reply.answered_at_ms));
     }
     // What waits goes another way where the scheduler's node has come or gone.
-    node.accepting.look_soon();
-    note_gone(node, link, &reply);
+    node.submissions.decide_soon();
+    update_suspicion(node, link, &reply);
 }
 
 /// Suspects the scheduler to be gone: its process takes no connections, is another one that does
 /// not hold the role, or twice gave no answer.
 ///
 /// This only shortens the time for which the store has to show no heartbeat of it.
-fn note_gone<P>(node: &Rc<Node<P>>, link: &HolderLink, reply: &Result<CellBody, CallError>)
+fn update_suspicion<P>(node: &Rc<Node<P>>, link: &HolderLink, reply: &Result<CellBody, CallError>)
 where
     P: Platform,
 {
     let misses = match reply {
-        Ok(CellBody::ContactReply(reply)) if !reply.leading => MISSES_OF_GONE,
+        Ok(CellBody::ContactReply(reply)) if !reply.leading => SUSPECTED_MISSES,
         Ok(_) => 0,
-        Err(CallError::NotSent) => MISSES_OF_GONE,
+        Err(CallError::NotSent) => SUSPECTED_MISSES,
         Err(CallError::NoReply) => link.misses.get() + 1,
     };
     link.misses.set(misses);
-    let gone = misses >= MISSES_OF_GONE;
-    if node.holder_gone.replace(gone) != gone && gone {
-        node.holder_news.notify_waiters();
+    let suspected = misses >= SUSPECTED_MISSES;
+    if node.holder_suspected.replace(suspected) != suspected && suspected {
+        node.holder_changed.notify_waiters();
     }
 }
 
 /// Answers a call of another node.
-pub(crate) async fn answer<P>(node: &Rc<Node<P>>, call: &[u8]) -> Bytes
+pub(crate) async fn handle_call<P>(node: &Rc<Node<P>>, call: &[u8]) -> Bytes
 where
     P: Platform,
 {
     let query = match CellMessage::decoded(call) {
         Ok(query) => query,
         Err(error) => {
-            node.note_unreadable(Source::Peers, "call", &error.to_string());
+            node.report_unreadable(Source::Peers, "call", &error.to_string());
             return Bytes::new();
         }
     };
     let reply = match query {
-        CellBody::Contact(contact) => CellBody::ContactReply(met(node, &contact)),
+        CellBody::Contact(contact) => CellBody::ContactReply(handle_contact(node, &contact)),
         CellBody::StateQuery(query) => queries::answer_state(node, &query),
         CellBody::PendingQuery(query) => queries::answer_pending(node, &query),
-        CellBody::AdviceQuery(query) => adviser::answer(node, query).await,
+        CellBody::AdviceQuery(query) => adviser::handle_query(node, query).await,
         CellBody::StoredNotice(notice) => {
-            let taken = take_notice(node, notice);
+            let taken = record_stored_notice(node, notice);
             CellBody::NoticeReply(NoticeReply { taken })
         }
         CellBody::Relay(relay) => {
-            let reply = node.take_over(relay).await;
+            let reply = node.store_relayed(relay).await;
             CellBody::RelayReply(reply)
         }
         _reply => {
-            node.note_unreadable(Source::Peers, "reply", "a reply came as a call");
+            node.report_unreadable(Source::Peers, "reply", "a reply came as a call");
             return Bytes::new();
         }
     };
@@ -262,14 +262,14 @@
 }
 
 /// Takes what another node has stored. Says whether the scheduler is here and has it.
-fn take_notice<P>(node: &Rc<Node<P>>, notice: StoredNotice) -> bool
+fn record_stored_notice<P>(node: &Rc<Node<P>>, notice: StoredNotice) -> bool
 where
     P: Platform,
 {
     if notice.partition >= node.settings.job_partitions() {
         // Removing the job would make the partition, and with it a topic.
         let reason = "there is no such partition";
-        node.note_unreadable(Source::Peers, "notice", reason);
+        node.report_unreadable(Source::Peers, "notice", reason);
         return false;
     }
     let Some(leader) = node.leader() else {
@@ -283,7 +283,7 @@
     true
 }
 
-fn met<P>(node: &Rc<Node<P>>, contact: &Contact) -> ContactReply
+fn handle_contact<P>(node: &Rc<Node<P>>, contact: &Contact) -> ContactReply
 where
     P: Platform,
 {
@@ -292,17 +292,17 @@
     // A scheduler that the store turns away cannot note what ends: a node that the store answers
     // need not wait out its silence.
     let store = node.store_view();
-    let unanswered = !store.answers && store.answered_ms > TURNED_AWAY_MS;
-    let turned_away = contact.store_answers && unanswered;
+    let unanswered = !store.answers && store.answered_ms > STORE_UNREACHABLE_MS;
+    let cut_off_from_store = contact.store_answers && unanswered;
     let agreed = leader.as_ref().map(|leader| leader.agreed_day());
     ContactReply {
-        leading: leader.is_some() && !turned_away,
+        leading: leader.is_some() && !cut_off_from_store,
         token: leader.map_or(0, |leader| leader.token),
         store_answers: store.answers,
         partition,
-        day_ms: agreed.map_or(0, |agreed| agreed.day.day_at(now()).0),
+        day_ms: agreed.map_or(0, |agreed| agreed.anchor.day_at(now()).0),
         day_clocks: agreed.map_or(0, |agreed| agreed.clocks),
-        append_ms: node.accepting.append_ms(),
+        append_ms: node.submissions.append_ms(),
         answered_at_ms: now().0,
     }
 }
--- a/crates/cell/src/follow.rs
+++ b/crates/cell/src/follow.rs
@@ -9,17 +9,17 @@
 use crate::clock::now;
 use crate::clock::pause;
 use crate::log;
-use crate::node::SeenWave;
+use crate::node::PublishedWave;
 use crate::ports::Platform;
 use crate::ports::Published;
 use crate::ports::ReadError;
 use crate::ports::Record;
 use crate::ports::Topic;
-use crate::unreadable::NAMELESS;
 use crate::unreadable::Source;
+use crate::unreadable::UNREADABLE_KEY;
 
 /// A read waits this long for news; it also shows that the connection still works.
-const WAIT_MS: u64 = 800;
+const LONG_POLL_MS: u64 = 800;
 
 /// Wait after a read that failed.
 const RETRY_MS: u64 = 100;
@@ -33,7 +33,7 @@
     loop {
         position = match position {
             None => read_newest(&node).await,
-            Some(from) => read_on(&node, from).await,
+            Some(from) => read_next(&node, from).await,
         };
         if position.is_none() {
             pause(RETRY_MS).await;
@@ -47,20 +47,20 @@
 {
     let newest = node.newest(Topic::Operators, 0).await.ok()?;
     for (_offset, record) in &newest.records {
-        apply(node, record);
+        apply_record(node, record);
     }
     Some(newest.read_from)
 }
 
 /// Reads on; where the store does not answer, the position is kept.
-async fn read_on<P>(node: &Node<P>, from: u64) -> Option<u64>
+async fn read_next<P>(node: &Node<P>, from: u64) -> Option<u64>
 where
     P: Platform,
 {
-    match node.read(Topic::Operators, 0, from, WAIT_MS).await {
+    match node.read(Topic::Operators, 0, from, LONG_POLL_MS).await {
         Ok(page) => {
             for record in &page.records {
-                apply(node, record);
+                apply_record(node, record);
             }
             let count = u64::try_from(page.records.len()).unwrap_or(0);
             Some(page.first + count)
@@ -73,12 +73,12 @@
     }
 }
 
-fn apply<P>(node: &Node<P>, record: &Record)
+fn apply_record<P>(node: &Node<P>, record: &Record)
 where
     P: Platform,
 {
-    if record.is_nameless() {
-        node.note_unreadable(Source::Operators, "", NAMELESS);
+    if record.is_placeholder() {
+        node.report_unreadable(Source::Operators, "", UNREADABLE_KEY);
     }
     if record.value.is_empty() {
         return;
@@ -88,21 +88,21 @@
         Err(error) => {
             let in_force = node.configuration().map_or(0, |current| current.version);
             let reason = format!("{error}; configuration {in_force} stays in force");
-            node.note_unreadable(Source::Operators, &record.key, &reason);
+            node.report_unreadable(Source::Operators, &record.key, &reason);
             return;
         }
     };
     node.unreadable.forget(Source::Operators, &record.key);
     match published {
         Published::Configuration(configuration) => apply_configuration(node, configuration),
-        Published::Wave(wave) => note_wave(node, wave),
+        Published::Wave(wave) => record_wave(node, wave),
         Published::Other => {}
     }
 }
 
 /// Remembers a wave, and tells the scheduler if it is here. What is published of a wave stays in the
 /// store for good, so one that was seen before is nothing new.
-fn note_wave<P>(node: &Node<P>, wave: Wave)
+fn record_wave<P>(node: &Node<P>, wave: Wave)
 where
     P: Platform,
 {
@@ -110,7 +110,7 @@
     if waves.iter().any(|seen| seen.wave.number == wave.number) {
         return;
     }
-    waves.push(SeenWave {
+    waves.push(PublishedWave {
         wave: wave.clone(),
         seen_at: now(),
     });
--- a/crates/cell/src/leader.rs
+++ b/crates/cell/src/leader.rs
@@ -48,9 +48,9 @@
 use crate::StateAnswer;
 use crate::clock::now;
 use crate::clock::pause;
-use crate::day::AgreedDay;
-use crate::day::CellDay;
-use crate::day::told_day;
+use crate::clock_agreement::AgreedTime;
+use crate::clock_agreement::ClockAgreement;
+use crate::clock_agreement::reported_anchor;
 use crate::log;
 use crate::ports::Condition;
 use crate::ports::Platform;
@@ -132,7 +132,7 @@
     /// Tells that the store took the first heartbeat.
     heartbeat_taken: Cell<bool>,
     heartbeat: Notify,
-    day: RefCell<CellDay>,
+    day: RefCell<ClockAgreement>,
     heard_workers_at: Cell<Millis>,
     tasks: RefCell<Vec<actix_rt::task::JoinHandle<()>>>,
 }
@@ -178,7 +178,7 @@
             authority: RefCell::new(Authority::new(options.authority_ms)),
             heartbeat_taken: Cell::new(false),
             heartbeat: Notify::new(),
-            day: RefCell::new(CellDay::after(node.told_day.get())),
+            day: RefCell::new(ClockAgreement::resume(node.reported_time.get())),
             heard_workers_at: Cell::new(now()),
             tasks: RefCell::default(),
         });
@@ -210,7 +210,7 @@
         if self.ended.replace(true) {
             return;
         }
-        log::left(self.token, reason, now().since(self.began_at));
+        log::role_ended(self.token, reason, now().since(self.began_at));
         for task in self.tasks.borrow().iter() {
             task.abort();
         }
@@ -357,22 +357,22 @@
         self.met_others_at.set(Some(now()));
         self.meet_adviser(contact);
         self.note_follower(contact);
-        if let Some(day) = told_day(now(), contact.day_ms) {
+        if let Some(day) = reported_anchor(now(), contact.day_ms) {
             let name = SmolStr::from(contact.node.as_str());
-            self.day.borrow_mut().note(name, day);
+            self.day.borrow_mut().report(name, day);
         }
         1 + self.advisers.borrow().others_before(&contact.node)
     }
 
     /// Returns the time of day that timed jobs are due by.
-    pub(crate) fn agreed_day(&self) -> AgreedDay {
-        self.day.borrow_mut().look(self.node.read_day())
+    pub(crate) fn agreed_day(&self) -> AgreedTime {
+        self.day.borrow_mut().update(self.node.read_wall_clock())
     }
 
     /// Has timed jobs due by the time of day that the nodes agree on.
     pub(crate) fn follow_day(&self) {
         let agreed = self.agreed_day();
-        self.scheduler.borrow_mut().set_day(agreed.day);
+        self.scheduler.borrow_mut().set_day(agreed.anchor);
     }
 
     /// Takes note that another node follows this scheduler.
--- a/crates/cell/src/leader/advice.rs
+++ b/crates/cell/src/leader/advice.rs
@@ -39,7 +39,7 @@
         let Ok(address) = contact.address.parse() else {
             let reason = "the address of the node is malformed";
             self.node
-                .note_unreadable(Source::Peers, &contact.node, reason);
+                .report_unreadable(Source::Peers, &contact.node, reason);
             return;
         };
         let name = SmolStr::from(contact.node.as_str());
@@ -106,7 +106,7 @@
                 let advice = self.node.platform.advise(step, workers, timeout_ms).await;
                 advice.inspect(|advice| {
                     self.node
-                        .note_skipped(Source::Advice, "advice", &advice.skipped);
+                        .report_skipped(Source::Advice, "advice", &advice.skipped);
                 })
             }
             Some(client) => {
@@ -119,7 +119,7 @@
                 });
                 let reply = contact::call(&client, query, timeout_ms + SLACK_MS).await;
                 let lost = |error: syc_net::CallError| AdviceError(error.to_string().into());
-                reply.map_err(lost).and_then(adviser::advice_of)
+                reply.map_err(lost).and_then(adviser::decode_reply)
             }
         };
         let took_ms = now().since(sent_at);
--- a/crates/cell/src/leader/heartbeat.rs
+++ b/crates/cell/src/leader/heartbeat.rs
@@ -55,7 +55,7 @@
             // The number stays, so that a sign that was taken after all is not counted twice.
             Err(_noted) => {}
         }
-        pause(leader.node.settings.timing.heartbeat_ms).await;
+        pause(leader.node.settings.timing.heartbeat_interval_ms).await;
     }
 }
 
--- a/crates/cell/src/leader/held_back.rs
+++ b/crates/cell/src/leader/held_back.rs
@@ -50,7 +50,7 @@
 {
     /// Takes note of a record of a job that can't be read.
     pub(super) fn hold_back(&self, key: &str, reason: &str) {
-        self.node.note_unreadable(Source::Jobs, key, reason);
+        self.node.report_unreadable(Source::Jobs, key, reason);
         if let Ok(id) = key.parse() {
             self.held_back.specs.borrow_mut().insert(id);
         }
--- a/crates/cell/src/leader/load.rs
+++ b/crates/cell/src/leader/load.rs
@@ -130,7 +130,7 @@
     P: Platform,
 {
     let mut waits = Waits::new(topic, partition);
-    let mut hedge_ms = leader.node.settings.timing.whole_read_hedge_ms;
+    let mut hedge_ms = leader.node.settings.timing.full_read_hedge_ms;
     let mut reads = FuturesUnordered::new();
     loop {
         reads.push(leader.node.newest(topic, partition));
@@ -252,7 +252,9 @@
     let mut keys = BTreeSet::new();
     for (key, error) in unreadable {
         let reason = error.to_string();
-        leader.node.note_unreadable(Source::Progress, &key, &reason);
+        leader
+            .node
+            .report_unreadable(Source::Progress, &key, &reason);
         keys.insert(key);
     }
     (workers, keys)
@@ -267,7 +269,9 @@
     let (waves, unreadable) = records::read_waves(all.map(|(_offset, record)| record));
     for (key, error) in unreadable {
         let reason = error.to_string();
-        leader.node.note_unreadable(Source::Progress, &key, &reason);
+        leader
+            .node
+            .report_unreadable(Source::Progress, &key, &reason);
     }
     for wave in waves {
         leader.scheduler.borrow_mut().restore_wave(wave);
@@ -284,14 +288,14 @@
     let mut unreadable = BTreeSet::new();
     let all = partitions.iter().flat_map(|newest| &newest.records);
     for (_offset, record) in all {
-        if record.value.is_empty() || !records::is_of_job(record) {
+        if record.value.is_empty() || !records::is_job_progress(record) {
             continue;
         }
         let (id, read) = match records::read_progress(record) {
             Ok(read) => read,
             Err(fault) => {
                 let node = &leader.node;
-                node.note_unreadable(Source::Progress, &record.key, &fault.reason);
+                node.report_unreadable(Source::Progress, &record.key, &fault.reason);
                 unreadable.extend(fault.job);
                 continue;
             }
--- a/crates/cell/src/leader/orders.rs
+++ b/crates/cell/src/leader/orders.rs
@@ -125,9 +125,9 @@
         run: Run,
         link: &'a WorkerLink,
         error: &'a OrderError,
-    ) -> log::Untaken<'a> {
+    ) -> log::FailedOrder<'a> {
         let platform = &self.node.platform;
-        log::Untaken {
+        log::FailedOrder {
             task,
             run,
             worker: &link.address.id,
--- a/crates/cell/src/leader/readers.rs
+++ b/crates/cell/src/leader/readers.rs
@@ -21,8 +21,8 @@
 use crate::ports::Topic;
 use crate::records::JobRecord;
 use crate::records::read_job;
-use crate::unreadable::NAMELESS;
 use crate::unreadable::Source;
+use crate::unreadable::UNREADABLE_KEY;
 
 /// Wait after a read that failed.
 const RETRY_MS: u64 = 60;
@@ -150,7 +150,7 @@
         let index = usize::try_from(partition).unwrap_or(usize::MAX);
         let read_at = self.jobs_read_at.borrow().get(index).copied();
         let unread_ms = now().since(read_at.unwrap_or_default().max(self.began_at));
-        let day = self.node.settings.day_clock.read();
+        let day = self.node.settings.wall_clock.read();
         day.ahead_of(spec.accepted_at_ms).min(unread_ms)
     }
 
@@ -223,8 +223,8 @@
     P: Platform,
 {
     let node = &leader.node;
-    if record.is_nameless() {
-        node.note_unreadable(Source::Workers, "", NAMELESS);
+    if record.is_placeholder() {
+        node.report_unreadable(Source::Workers, "", UNREADABLE_KEY);
         return None;
     }
     if record.value.is_empty() {
@@ -242,7 +242,7 @@
         Ok(spec) => format!("no service `{}` is configured", spec.service.as_str()),
         Err(error) => error.0,
     };
-    node.note_unreadable(Source::Workers, &record.key, &reason);
+    node.report_unreadable(Source::Workers, &record.key, &reason);
     leader.unlist_worker(&record.key);
     None
 }
--- a/crates/cell/src/leader/records.rs
+++ b/crates/cell/src/leader/records.rs
@@ -156,7 +156,7 @@
 
     /// Writes the progress of some jobs. Says whether there was any.
     async fn write_batch(self: &Rc<Self>) -> bool {
-        let day = self.node.settings.day_clock.read();
+        let day = self.node.settings.wall_clock.read();
         let mut taken = self
             .scheduler
             .borrow_mut()
@@ -290,7 +290,7 @@
                         continue;
                     }
                 }
-                Err(AppendError::Refused(_) | AppendError::EndsElsewhere { .. }) => {
+                Err(AppendError::Refused(_) | AppendError::EndMismatch { .. }) => {
                     refusals += 1;
                     if refusals >= REFUSALS_LIMIT && writer.switch(false) {
                         refusals = 0;
@@ -310,7 +310,10 @@
         if forgets.is_empty() {
             return;
         }
-        let removals: Vec<_> = forgets.iter().map(|id| records::forgotten(*id)).collect();
+        let removals: Vec<_> = forgets
+            .iter()
+            .map(|id| records::progress_tombstone(*id))
+            .collect();
         for partition in 0..PROGRESS_PARTITIONS {
             let removed = self
                 .node
@@ -362,7 +365,10 @@
             }
         }
         for (partition, ids) in by_partition {
-            let removals: Vec<_> = ids.iter().flat_map(|id| records::removed(*id)).collect();
+            let removals: Vec<_> = ids
+                .iter()
+                .flat_map(|id| records::job_tombstones(*id))
+                .collect();
             let removed = leader
                 .node
                 .append(Topic::Jobs, partition, &removals, &Condition::None)
--- a/crates/cell/src/leader/sessions.rs
+++ b/crates/cell/src/leader/sessions.rs
@@ -184,7 +184,7 @@
                 skipped_end = renewed.skipped_end;
                 let told_ends = skipped_end > 0 || !renewed.report.ended.is_empty();
                 patience.note_renewal(took_ms, wait_ms, told_ends);
-                leader.node.note_skipped(
+                leader.node.report_skipped(
                     Source::WorkerAnswers,
                     link.address.id.as_str(),
                     &renewed.skipped,
--- a/crates/cell/src/leader/vms.rs
+++ b/crates/cell/src/leader/vms.rs
@@ -16,7 +16,7 @@
 use crate::leader::orders::ANOTHER_MAY_BE_CHOSEN;
 use crate::log;
 use crate::ports::AppendError;
-use crate::ports::ListError;
+use crate::ports::ListVmsError;
 use crate::ports::Platform;
 use crate::ports::Record;
 use crate::ports::Topic;
@@ -68,27 +68,27 @@
         actix_rt::spawn(async move {
             let listed = leader.read_vms().await;
             if let Err(error) = &listed {
-                log::vms_unlisted(error);
+                log::list_vms_failed(error);
             }
             let vms = listed.ok();
             leader.apply(Event::VmsListed { asked_at, vms });
         });
     }
 
-    async fn read_vms(&self) -> Result<Vec<VmInfo>, ListError> {
+    async fn read_vms(&self) -> Result<Vec<VmInfo>, ListVmsError> {
         let mut vms = Vec::new();
         let mut from = None;
         for _ in 0..PAGES_LIMIT {
             let platform = &self.node.platform;
             let page = platform.list_vms(from.as_deref(), CALL_TIMEOUT_MS).await?;
-            self.node.note_skipped(Source::Vms, "list", &page.skipped);
+            self.node.report_skipped(Source::Vms, "list", &page.skipped);
             vms.extend(page.vms);
             from = page.next;
             if from.is_none() {
                 return Ok(vms);
             }
         }
-        Err(ListError("the list has no end".into()))
+        Err(ListVmsError("the list has no end".into()))
     }
 
     pub(super) fn order_vm(self: &Rc<Self>, vm: VmId, duty: Duty) {
@@ -133,7 +133,7 @@
 
     /// Has operators told how far a wave is.
     pub(super) fn tell_wave(&self, wave: u64, completed: bool) {
-        log::wave_told(wave, completed);
+        log::wave_status_published(wave, completed);
         let record = self.node.platform.wave_status(wave, completed);
         self.statuses.borrow_mut().push_back(record);
         self.tell.notify_one();
--- a/crates/cell/src/leader/waits.rs
+++ b/crates/cell/src/leader/waits.rs
@@ -45,6 +45,6 @@
         }
         self.told_at = Some(now);
         let waited_ms = now.since(self.began);
-        log::takeover_waits(token, step, self, waited_ms, error);
+        log::takeover_retries(token, step, self, waited_ms, error);
     }
 }
--- a/crates/cell/src/lib.rs
+++ b/crates/cell/src/lib.rs
@@ -7,14 +7,13 @@
 //! Layers, from the outside in: [`ports`] (what the platform gives), [`Node`] (what all nodes do),
 //! `leader` (what the scheduler does) over the pure decisions of `syc-sched`.
 
-mod accept;
 mod adviser;
+mod claims;
 mod clock;
+pub mod clock_agreement;
 mod configuration;
 mod contact;
-pub mod day;
 mod follow;
-mod holders;
 mod leader;
 mod log;
 mod node;
@@ -23,10 +22,10 @@
 pub mod records;
 mod settings;
 mod store_calls;
+mod submissions;
 mod unreadable;
 
-pub use accept::Stored;
-pub use clock::DayClock;
+pub use clock::WallClock;
 pub use clock::now;
 pub use clock::pause;
 pub use configuration::Configuration;
@@ -37,5 +36,6 @@
 pub use settings::NodeSettings;
 pub use settings::Timing;
 pub use store_calls::StoreView;
+pub use submissions::StoreOutcome;
 pub use unreadable::Source;
 pub use unreadable::Unreadable;
--- a/crates/cell/src/log.rs
+++ b/crates/cell/src/log.rs
@@ -28,7 +28,7 @@
 use crate::node::Holder;
 use crate::ports::AdviceError;
 use crate::ports::AppendError;
-use crate::ports::ListError;
+use crate::ports::ListVmsError;
 use crate::ports::OrderError;
 use crate::ports::VmCommand;
 use crate::ports::VmOrderError;
@@ -51,7 +51,7 @@
     Line::new(catalogue::NODE_STOPPED).emit();
 }
 
-pub(crate) fn peers_unserved(error: &std::io::Error) {
+pub(crate) fn peer_listener_failed(error: &std::io::Error) {
     Line::new(catalogue::DEPENDENCY_LOST)
         .text("dependency", "peer_listener")
         .display("reason", error)
@@ -100,14 +100,14 @@
         .emit();
 }
 
-pub(crate) fn holder(holder: Option<&Holder>) {
+pub(crate) fn holder_changed(holder: Option<&Holder>) {
     Line::new(catalogue::HOLDER_SEEN)
         .text("scheduler", holder.map_or("", |holder| &holder.node))
         .number("token", holder.map_or(0, |holder| holder.token))
         .emit();
 }
 
-pub(crate) fn chosen(token: u64, before: Option<&Holder>, silent_ms: u64) {
+pub(crate) fn claim_won(token: u64, before: Option<&Holder>, silent_ms: u64) {
     Line::new(catalogue::HOLDER_CHOSEN)
         .number("token", token)
         .number("before", before.map_or(0, |before| before.token))
@@ -121,7 +121,7 @@
         .emit();
 }
 
-pub(crate) fn left(token: u64, reason: &str, held_ms: u64) {
+pub(crate) fn role_ended(token: u64, reason: &str, held_ms: u64) {
     Line::new(catalogue::HOLDER_LEFT)
         .number("token", token)
         .text("reason", reason)
@@ -149,7 +149,7 @@
         .emit();
 }
 
-pub(crate) fn takeover_waits<E>(
+pub(crate) fn takeover_retries<E>(
     token: u64,
     step: &'static str,
     waits: &Waits,
@@ -211,7 +211,7 @@
 
 /// An order that was refused or has no answer, and what was under way then.
 #[derive(Debug)]
-pub(crate) struct Untaken<'a> {
+pub(crate) struct FailedOrder<'a> {
     pub(crate) task: TaskId,
     pub(crate) run: Run,
     pub(crate) worker: &'a WorkerId,
@@ -222,21 +222,21 @@
     pub(crate) connections_opened: u64,
 }
 
-pub(crate) fn start_failed(order: &Untaken<'_>) {
-    untaken(catalogue::START_FAILED, order).emit();
+pub(crate) fn start_failed(order: &FailedOrder<'_>) {
+    failed_order(catalogue::START_FAILED, order).emit();
 }
 
-pub(crate) fn stop_failed(order: &Untaken<'_>) {
-    untaken(catalogue::STOP_FAILED, order).emit();
+pub(crate) fn stop_failed(order: &FailedOrder<'_>) {
+    failed_order(catalogue::STOP_FAILED, order).emit();
 }
 
-pub(crate) fn pace_failed(order: &Untaken<'_>, percent: u8) {
-    untaken(catalogue::PACE_FAILED, order)
+pub(crate) fn pace_failed(order: &FailedOrder<'_>, percent: u8) {
+    failed_order(catalogue::PACE_FAILED, order)
         .number("percent", percent)
         .emit();
 }
 
-fn untaken(event: Event, order: &Untaken<'_>) -> Line {
+fn failed_order(event: Event, order: &FailedOrder<'_>) -> Line {
     Line::new(event)
         .display("job", order.task.step.job)
         .display("task", order.task)
@@ -286,7 +286,7 @@
         .emit();
 }
 
-pub(crate) fn vms_unlisted(error: &ListError) {
+pub(crate) fn list_vms_failed(error: &ListVmsError) {
     Line::new(catalogue::VMS_UNLISTED)
         .display("reason", error)
         .emit();
@@ -308,7 +308,7 @@
     }
 }
 
-pub(crate) fn wave_told(wave: u64, completed: bool) {
+pub(crate) fn wave_status_published(wave: u64, completed: bool) {
     Line::new(catalogue::WAVE_TOLD)
         .number("wave", wave)
         .flag("completed", completed)
--- a/crates/cell/src/node.rs
+++ b/crates/cell/src/node.rs
@@ -24,24 +24,24 @@
 
 use crate::Configuration;
 use crate::NodeSettings;
-use crate::accept::AcceptQueue;
-use crate::accept::watch_admission;
+use crate::claims;
 use crate::clock::now;
 use crate::clock::pause;
+use crate::clock_agreement::AgreedTime;
+use crate::clock_agreement::reported_anchor;
 use crate::contact;
 use crate::contact::HolderLink;
-use crate::day::AgreedDay;
-use crate::day::told_day;
 use crate::follow;
-use crate::holders;
 use crate::leader::Leader;
 use crate::log;
 use crate::ports::Platform;
 use crate::store_calls::StoreHealth;
+use crate::submissions::SubmissionQueue;
+use crate::submissions::run_admission_timer;
 use crate::unreadable::Unreadable;
 
 /// A planned stop looks this often whether the node is idle.
-const IDLE_LOOK_MS: u64 = 50;
+const IDLE_POLL_MS: u64 = 50;
 
 /// The scheduler, as a node knows it.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -58,7 +58,7 @@
 
 /// A wave of upkeep, and when this node read of it.
 #[derive(Debug, Clone)]
-pub(crate) struct SeenWave {
+pub(crate) struct PublishedWave {
     pub(crate) wave: Wave,
     pub(crate) seen_at: Millis,
 }
@@ -81,23 +81,23 @@
     pub(crate) incarnation: u64,
     pub(crate) configuration: RefCell<Option<Rc<Configuration>>>,
     /// Waves of upkeep that operators have published.
-    pub(crate) waves: RefCell<Vec<SeenWave>>,
+    pub(crate) waves: RefCell<Vec<PublishedWave>>,
     pub(crate) store: StoreHealth,
     pub(crate) holder: RefCell<Option<Holder>>,
     pub(crate) link: RefCell<Option<Rc<HolderLink>>>,
     pub(crate) leader: RefCell<Option<Rc<Leader<P>>>>,
-    pub(crate) accepting: AcceptQueue,
+    pub(crate) submissions: SubmissionQueue,
     /// The partition that this node writes jobs to.
     pub(crate) partition: Cell<u32>,
     /// Wakes whoever waits for news of the scheduler.
-    pub(crate) holder_news: Notify,
+    pub(crate) holder_changed: Notify,
     /// Whether the holder's process seems to be gone.
-    pub(crate) holder_gone: Cell<bool>,
+    pub(crate) holder_suspected: Cell<bool>,
     pub(crate) stopping: Cell<bool>,
     /// No claim before this time, after having given the role up.
     pub(crate) claim_not_before: Cell<Millis>,
     /// The time of day that the scheduler last told.
-    pub(crate) told_day: Cell<Option<AgreedDay>>,
+    pub(crate) reported_time: Cell<Option<AgreedTime>>,
     pub(crate) unsent_replies: UnsentReplies,
 }
 
@@ -120,22 +120,22 @@
             link: RefCell::default(),
             leader: RefCell::default(),
             partition: Cell::new(0),
-            accepting: AcceptQueue::new(),
-            holder_news: Notify::new(),
-            holder_gone: Cell::new(false),
+            submissions: SubmissionQueue::new(),
+            holder_changed: Notify::new(),
+            holder_suspected: Cell::new(false),
             stopping: Cell::new(false),
             claim_not_before: Cell::new(began),
-            told_day: Cell::new(None),
+            reported_time: Cell::new(None),
             unsent_replies: UnsentReplies::default(),
             settings,
         });
         actix_rt::spawn(follow::follow_configuration(Rc::clone(&node)));
-        actix_rt::spawn(holders::watch_holders(Rc::clone(&node)));
-        actix_rt::spawn(contact::keep_contact(Rc::clone(&node)));
+        actix_rt::spawn(claims::follow_claims(Rc::clone(&node)));
+        actix_rt::spawn(contact::run_contact_loop(Rc::clone(&node)));
         actix_rt::spawn(tick(Rc::clone(&node)));
-        actix_rt::spawn(probe_store(Rc::clone(&node)));
-        actix_rt::spawn(watch_admission(Rc::clone(&node)));
-        actix_rt::spawn(answer_peers(Rc::clone(&node), peers));
+        actix_rt::spawn(run_store_probe(Rc::clone(&node)));
+        actix_rt::spawn(run_admission_timer(Rc::clone(&node)));
+        actix_rt::spawn(serve_peer_calls(Rc::clone(&node), peers));
         log::started(&node.settings, node.incarnation);
         node
     }
@@ -162,8 +162,8 @@
             return false;
         }
         let link = self.link.borrow();
-        let relays = link.as_ref().is_some_and(|link| link.relays());
-        self.store_answers() || relays
+        let can_relay = link.as_ref().is_some_and(|link| link.can_relay());
+        self.store_answers() || can_relay
     }
 
     /// Says whether this node is the scheduler, and has read what its predecessor left.
@@ -178,24 +178,24 @@
     }
 
     /// Reads this node's clock of the day.
-    pub(crate) fn read_day(&self) -> DayAnchor {
-        let day = self.settings.day_clock.read();
+    pub(crate) fn read_wall_clock(&self) -> DayAnchor {
+        let day = self.settings.wall_clock.read();
         DayAnchor { at: now(), day }
     }
 
     /// Returns the time of day that the scheduler believes in, as far as it is known here.
     #[must_use]
-    pub fn agreed_day(&self) -> Option<AgreedDay> {
+    pub fn agreed_time(&self) -> Option<AgreedTime> {
         let leader = self.leader();
-        leader.map_or(self.told_day.get(), |leader| Some(leader.agreed_day()))
+        leader.map_or(self.reported_time.get(), |leader| Some(leader.agreed_day()))
     }
 
-    pub(crate) fn take_agreed_day(&self, reply: &ContactReply) {
-        let Some(day) = told_day(now(), reply.day_ms) else {
+    pub(crate) fn record_reported_time(&self, reply: &ContactReply) {
+        let Some(anchor) = reported_anchor(now(), reply.day_ms) else {
             return;
         };
         let clocks = reply.day_clocks;
-        self.told_day.set(Some(AgreedDay { day, clocks }));
+        self.reported_time.set(Some(AgreedTime { anchor, clocks }));
     }
 
     /// Returns the page of metrics.
@@ -235,7 +235,7 @@
         if self.stopping.replace(true) {
             return;
         }
-        self.accepting.stop_by(answer_by);
+        self.submissions.stop_by(answer_by);
         log::stopping(self.leader.borrow().is_some());
         if let Some(leader) = self.leader() {
             leader.hand_over("planned_stop").await;
@@ -244,12 +244,12 @@
 
     /// Waits until nothing that was accepted is left to be answered, at most `limit_ms`.
     pub async fn finish_stop(&self, limit_ms: u64) {
-        let until = now().plus(limit_ms);
-        while now() < until {
-            if !self.accepting.is_busy() && self.unsent_replies.count() == 0 {
+        let deadline = now().plus(limit_ms);
+        while now() < deadline {
+            if !self.submissions.is_busy() && self.unsent_replies.count() == 0 {
                 break;
             }
-            pause(IDLE_LOOK_MS).await;
+            pause(IDLE_POLL_MS).await;
         }
         log::stopped();
         flush_lines();
@@ -261,7 +261,7 @@
     P: Platform,
 {
     loop {
-        pause(node.settings.timing.tick_ms).await;
+        pause(node.settings.timing.tick_interval_ms).await;
         if let Some(leader) = node.leader() {
             leader.follow_day();
             leader.apply(Event::Ticked);
@@ -273,29 +273,29 @@
 }
 
 /// Finds out quickly that the store answers again.
-async fn probe_store<P>(node: Rc<Node<P>>)
+async fn run_store_probe<P>(node: Rc<Node<P>>)
 where
     P: Platform,
 {
     loop {
-        pause(node.settings.timing.probe_ms).await;
-        node.review_store("review", "silent");
+        pause(node.settings.timing.probe_interval_ms).await;
+        node.update_store_health("review", "silent");
         if !node.store_answers() {
             node.probe().await;
         }
     }
 }
 
-async fn answer_peers<P>(node: Rc<Node<P>>, listener: TcpListener)
+async fn serve_peer_calls<P>(node: Rc<Node<P>>, listener: TcpListener)
 where
     P: Platform,
 {
     let unsent = node.unsent_replies.clone();
     let served = serve_peers(listener, unsent, move |call: Bytes| {
         let node = Rc::clone(&node);
-        async move { contact::answer(&node, &call).await }
+        async move { contact::handle_call(&node, &call).await }
     });
     if let Err(error) = served.await {
-        log::peers_unserved(&error);
+        log::peer_listener_failed(&error);
     }
 }
--- a/crates/cell/src/ports.rs
+++ b/crates/cell/src/ports.rs
@@ -24,7 +24,7 @@
 use crate::Configuration;
 
 /// No VM has more: a million cores, a petabyte, a million accelerators. Amounts of many VMs are added up.
-pub const CAPACITY_LIMIT: Resources = Resources {
+pub const MAX_VM_CAPACITY: Resources = Resources {
     cpu_millis: 1_000_000_000,
     memory_bytes: 1 << 50,
     accelerators: 1_000_000,
@@ -74,7 +74,7 @@
 impl Record {
     /// Returns what stands in the place of a record that can't be read: it names nothing and says nothing.
     #[must_use]
-    pub const fn nameless() -> Self {
+    pub const fn placeholder() -> Self {
         Self {
             key: SmolStr::new_static(""),
             value: Bytes::new(),
@@ -89,7 +89,7 @@
 
     /// Says whether it stands in the place of one that can't be read.
     #[must_use]
-    pub fn is_nameless(&self) -> bool {
+    pub fn is_placeholder(&self) -> bool {
         self.key.is_empty() && self.value.is_empty()
     }
 }
@@ -129,7 +129,7 @@
     Refused(SmolStr),
     /// The partition ends elsewhere.
     #[error("the partition ends at {end}")]
-    EndsElsewhere {
+    EndMismatch {
         /// Where it ends.
         end: u64,
     },
@@ -446,7 +446,7 @@
 /// Why the VMs could not be listed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("the VMs can't be listed: {0}")]
-pub struct ListError(pub SmolStr);
+pub struct ListVmsError(pub SmolStr);
 
 /// An order about a VM.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -485,7 +485,7 @@
         &self,
         from: Option<&str>,
         timeout_ms: u64,
-    ) -> impl Future<Output = Result<VmPage, ListError>>;
+    ) -> impl Future<Output = Result<VmPage, ListVmsError>>;
 
     /// Does something with a VM; it is also done if it was done before.
     fn order_vm(
@@ -512,7 +512,7 @@
 pub struct FormatError(pub String);
 
 /// The platform's own records.
-pub trait Formats {
+pub trait RecordFormats {
     /// Reads the record of a registered worker.
     ///
     /// # Errors
@@ -532,6 +532,6 @@
 }
 
 /// Everything that a node needs of its platform.
-pub trait Platform: Store + WorkerPort + AdvicePort + VmPort + Formats + 'static {}
+pub trait Platform: Store + WorkerPort + AdvicePort + VmPort + RecordFormats + 'static {}
 
-impl<P> Platform for P where P: Store + WorkerPort + AdvicePort + VmPort + Formats + 'static {}
+impl<P> Platform for P where P: Store + WorkerPort + AdvicePort + VmPort + RecordFormats + 'static {}
--- a/crates/cell/src/queries.rs
+++ b/crates/cell/src/queries.rs
@@ -20,7 +20,7 @@
 const RETRY_MS: u64 = 100;
 
 /// A question is given up after this time: the caller asks again within its own timeout.
-const LIMIT_MS: u64 = 1_500;
+const QUERY_TIMEOUT_MS: u64 = 1_500;
 
 /// What is known of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -76,13 +76,13 @@
 {
     /// Tells the state of a job.
     pub async fn state(self: &Rc<Self>, id: JobId) -> StateAnswer {
-        let until = now().plus(LIMIT_MS);
+        let deadline = now().plus(QUERY_TIMEOUT_MS);
         loop {
             let answer = match self.leader() {
                 Some(leader) => leader.state(id),
-                None => self.ask_state(id).await,
+                None => self.query_state(id).await,
             };
-            if answer != StateAnswer::Unsure || now() >= until || self.stopping.get() {
+            if answer != StateAnswer::Unsure || now() >= deadline || self.stopping.get() {
                 return answer;
             }
             pause(RETRY_MS).await;
@@ -91,38 +91,38 @@
 
     /// Tells how many jobs of a queue have not begun.
     pub async fn pending(self: &Rc<Self>, queue: &str) -> PendingAnswer {
-        let until = now().plus(LIMIT_MS);
+        let deadline = now().plus(QUERY_TIMEOUT_MS);
         loop {
             let answer = match self.leader() {
                 Some(leader) => leader.pending(queue),
-                None => self.ask_pending(queue).await,
+                None => self.query_pending(queue).await,
             };
-            if answer != PendingAnswer::Unsure || now() >= until || self.stopping.get() {
+            if answer != PendingAnswer::Unsure || now() >= deadline || self.stopping.get() {
                 return answer;
             }
             pause(RETRY_MS).await;
         }
     }
 
-    async fn ask_state(&self, id: JobId) -> StateAnswer {
+    async fn query_state(&self, id: JobId) -> StateAnswer {
         let query = CellBody::StateQuery(StateQueryCell { job: id.0 });
-        let Some(CellBody::StateReply(reply)) = self.ask_holder(query).await else {
+        let Some(CellBody::StateReply(reply)) = self.query_scheduler(query).await else {
             return StateAnswer::Unsure;
         };
         reply.knowledge().into()
     }
 
-    async fn ask_pending(&self, queue: &str) -> PendingAnswer {
+    async fn query_pending(&self, queue: &str) -> PendingAnswer {
         let query = CellBody::PendingQuery(PendingQuery {
             queue: queue.to_owned(),
         });
-        match self.ask_holder(query).await {
+        match self.query_scheduler(query).await {
             Some(CellBody::PendingReply(reply)) if reply.known => PendingAnswer::Known(reply.jobs),
             _ => PendingAnswer::Unsure,
         }
     }
 
-    async fn ask_holder(&self, query: CellBody) -> Option<CellBody> {
+    async fn query_scheduler(&self, query: CellBody) -> Option<CellBody> {
         let link = self.link.borrow().clone()?;
         let timeout_ms = self.settings.timing.peer_timeout_ms;
         // Without an answer the question is asked again, or the caller hears that nobody can tell.
--- a/crates/cell/src/records.rs
+++ b/crates/cell/src/records.rs
@@ -15,9 +15,9 @@
 use syc_sched::WaveProgress;
 use syc_sched::WorkerSpec;
 
-use crate::ports::CAPACITY_LIMIT;
+use crate::ports::MAX_VM_CAPACITY;
 use crate::ports::Record;
-use crate::unreadable::NAMELESS;
+use crate::unreadable::UNREADABLE_KEY;
 
 /// What follows a job's identity in the key of the record that cancels it.
 const CANCEL_SUFFIX: &str = "/cancel";
@@ -32,13 +32,13 @@
 const WAVE_PREFIX: &str = "waves/";
 
 /// Most workers that one record names: some fifty kilobytes, well within what the store takes.
-const WORKERS_OF_RECORD: usize = 200;
+const WORKERS_PER_RECORD: usize = 200;
 
 /// Longest time that a step of a job may declare: a day, as callers are read.
-const STEP_MS_LIMIT: u64 = 86_400_000;
+const STEP_LIMIT_MS: u64 = 86_400_000;
 
 /// Longest time that a call for advice, or a worker named in it, may take: a day.
-const ADVICE_MS_LIMIT: f64 = 86_400_000.0;
+const ADVICE_LIMIT_MS: f64 = 86_400_000.0;
 
 /// What the topic of jobs holds.
 #[derive(Debug, Clone, PartialEq)]
@@ -115,7 +115,7 @@
 
 /// Makes the records that remove what was submitted of a job.
 #[must_use]
-pub fn removed(id: JobId) -> [Record; 2] {
+pub fn job_tombstones(id: JobId) -> [Record; 2] {
     let key = SmolStr::from(id);
     [key, cancel_key(id)].map(|key| Record {
         key,
@@ -134,7 +134,7 @@
 
 /// Makes the record that removes a job's progress.
 #[must_use]
-pub fn forgotten(id: JobId) -> Record {
+pub fn progress_tombstone(id: JobId) -> Record {
     Record {
         key: SmolStr::from(id),
         value: Bytes::new(),
@@ -153,7 +153,7 @@
 /// Makes the records of a roster; they count only together.
 #[must_use]
 pub fn roster(roster: &RosterRecord) -> Vec<Record> {
-    let parts = roster.workers.chunks(WORKERS_OF_RECORD);
+    let parts = roster.workers.chunks(WORKERS_PER_RECORD);
     let parts = (0..).zip(parts).map(|(number, workers)| {
         let part = RosterRecord {
             workers: workers.to_vec(),
@@ -231,7 +231,7 @@
 
 /// Says whether a record of the topic of progress is that of a job.
 #[must_use]
-pub fn is_of_job(record: &Record) -> bool {
+pub fn is_job_progress(record: &Record) -> bool {
     !is_roster(record) && !record.key.starts_with(WAVE_PREFIX)
 }
 
@@ -272,7 +272,7 @@
 fn read_roster_part(value: &[u8]) -> Result<RosterRecord, serde_json::Error> {
     let read: RosterRecord = serde_json::from_slice(value)?;
     let mut workers = read.workers.iter();
-    if workers.all(|worker| worker.capacity.fits_in(&CAPACITY_LIMIT)) {
+    if workers.all(|worker| worker.capacity.fits_in(&MAX_VM_CAPACITY)) {
         return Ok(read);
     }
     Err(serde_json::Error::custom("more than any VM has"))
@@ -281,10 +281,10 @@
 /// Reads a record of the topic of jobs.
 #[must_use]
 pub fn read_job(record: &Record) -> JobRecord {
-    if record.is_nameless() {
+    if record.is_placeholder() {
         return JobRecord::Unreadable {
             key: SmolStr::default(),
-            reason: NAMELESS.to_owned(),
+            reason: UNREADABLE_KEY.to_owned(),
         };
     }
     if record.value.is_empty() {
@@ -307,7 +307,7 @@
     if SmolStr::from(spec.id) != record.key {
         return unreadable(format!("it is that of {}", spec.id));
     }
-    match unsound(&spec) {
+    match find_invalid(&spec) {
         Some(finding) => unreadable(finding),
         None => JobRecord::Submitted(Box::new(spec)),
     }
@@ -315,23 +315,23 @@
 
 /// Says what the scheduler could not bear of a job: each node checks what it stores, but another version
 /// may check something else.
-fn unsound(spec: &JobSpec) -> Option<String> {
+fn find_invalid(spec: &JobSpec) -> Option<String> {
     if let Some(finding) = spec.findings().first() {
         return Some(finding.text.to_owned());
     }
     let mut times_ms = spec.steps.iter().map(|step| step.estimate_ms);
-    if times_ms.any(|time_ms| time_ms > STEP_MS_LIMIT) {
+    if times_ms.any(|time_ms| time_ms > STEP_LIMIT_MS) {
         return Some("a step takes longer than any may".to_owned());
     }
     let advice = spec.policy.advice?;
-    let is_time = |time_ms: f64| (0.0..=ADVICE_MS_LIMIT).contains(&time_ms);
+    let is_time = |time_ms: f64| (0.0..=ADVICE_LIMIT_MS).contains(&time_ms);
     let sound = is_time(advice.decision_ms) && is_time(advice.per_worker_ms);
     (!sound).then(|| "advice takes longer than any may".to_owned())
 }
 
 /// What is wrong with a record of progress.
 #[derive(Debug)]
-pub struct ProgressFault {
+pub struct ProgressError {
     /// The job, where its key says which.
     pub job: Option<JobId>,
     /// Why it can't be read.
@@ -343,8 +343,8 @@
 /// # Errors
 ///
 /// Fails where the key names no job, or the value is not in the form that is written.
-pub fn read_progress(record: &Record) -> Result<(JobId, JobProgress), ProgressFault> {
-    let fault = |job, reason| ProgressFault { job, reason };
+pub fn read_progress(record: &Record) -> Result<(JobId, JobProgress), ProgressError> {
+    let fault = |job, reason| ProgressError { job, reason };
     let id: JobId = match record.key.parse() {
         Ok(id) => id,
         Err(error) => return Err(fault(None, format!("{error}"))),
--- a/crates/cell/src/store_calls.rs
+++ b/crates/cell/src/store_calls.rs
@@ -26,33 +26,33 @@
 const HEDGE_FACTOR: u64 = 4;
 
 /// It is sent again no sooner than this: above the time of a sound answer.
-const HEDGE_LEAST_MS: u64 = 50;
+const HEDGE_MIN_MS: u64 = 50;
 
 /// A second repeat waits this long, unless the store has answered something that was sent later: a slow store takes
 /// each copy of an append as long as the append itself, and what comes next waits behind them.
-const HEDGE_SLOW_MS: u64 = 350;
+const LATER_HEDGE_MS: u64 = 350;
 
 /// Times that an append is sent in all.
-const APPEND_TRIES: u32 = 4;
+const APPEND_ATTEMPTS: u32 = 4;
 
 /// An append of jobs is given up after this time: the store refuses what would wait for longer in the row of a
 /// partition.
-const JOBS_LIMIT_MS: u64 = 3_000;
+const JOBS_APPEND_TIMEOUT_MS: u64 = 3_000;
 
 /// The store is away when it has answered nothing for this long, and something failed since.
-const AWAY_MS: u64 = 200;
+const UNAVAILABLE_AFTER_MS: u64 = 200;
 
 /// A store that is slow is given so many times the time that its answers take.
-const SLOW_FACTOR: u64 = 2;
+const LATENCY_FACTOR: u64 = 2;
 
 /// An append is given up after this many times the usual time, or the store's timeout.
 const TIMEOUT_FACTOR: u64 = 3;
 
 /// It is given up after this time however slow the store is.
-const TIMEOUT_MOST_MS: u64 = 1_500;
+const TIMEOUT_MAX_MS: u64 = 1_500;
 
 /// Time that an append is taken to need before any was answered.
-const FIRST_USUAL_MS: u64 = 15;
+const INITIAL_APPEND_MS: u64 = 15;
 
 /// Whether the store answers this node, and how fast.
 #[derive(Debug)]
@@ -61,10 +61,10 @@
     last_failure_at: Cell<Millis>,
     last_answer_at: Cell<Millis>,
     /// How long appends take, but for those of jobs: admission keeps the pace of these.
-    pace: Cell<Pace>,
+    append_latency: Cell<Pace>,
     /// How long the calls took that were answered. Unlike the pace, it says nothing of those that were not: a store
     /// that is away is not slow.
-    answers_took: Cell<Pace>,
+    answer_latency: Cell<Pace>,
     /// When the latest of the calls that were answered had been sent, but for reads that may wait.
     answered_sent_at: Cell<Millis>,
 }
@@ -76,46 +76,46 @@
             answers: Cell::new(true),
             last_failure_at: Cell::new(began),
             last_answer_at: Cell::new(began),
-            pace: Cell::new(Pace::new(FIRST_USUAL_MS)),
-            answers_took: Cell::new(Pace::new(0)),
+            append_latency: Cell::new(Pace::new(INITIAL_APPEND_MS)),
+            answer_latency: Cell::new(Pace::new(0)),
             answered_sent_at: Cell::new(began),
         }
     }
 
     /// Takes note of an answer, unless something that was sent later was answered before it: a single late answer says
     /// nothing of how long calls take now.
-    fn note_answer(&self, sent_at: Millis) {
-        if self.is_lost(sent_at) {
+    fn record_answer(&self, sent_at: Millis) {
+        if self.is_overtaken(sent_at) {
             return;
         }
         self.answered_sent_at.set(sent_at);
-        let mut took = self.answers_took.get();
-        took.took(now().since(sent_at));
-        self.answers_took.set(took);
+        let mut latency = self.answer_latency.get();
+        latency.took(now().since(sent_at));
+        self.answer_latency.set(latency);
     }
 
     /// Returns the time that a call is given which a sound store answers within the least.
-    fn limit_ms(&self, least_ms: u64) -> u64 {
-        let by_answers = self.answers_took.get().usual_ms() * SLOW_FACTOR;
-        by_answers.min(TIMEOUT_MOST_MS).max(least_ms)
+    fn latency_timeout_ms(&self, min_ms: u64) -> u64 {
+        let by_latency = self.answer_latency.get().usual_ms() * LATENCY_FACTOR;
+        by_latency.min(TIMEOUT_MAX_MS).max(min_ms)
     }
 
-    fn took(&self, sent_at: Millis) {
-        self.note_answer(sent_at);
-        let mut pace = self.pace.get();
-        pace.took(now().since(sent_at));
-        self.pace.set(pace);
+    fn record_append(&self, sent_at: Millis) {
+        self.record_answer(sent_at);
+        let mut latency = self.append_latency.get();
+        latency.took(now().since(sent_at));
+        self.append_latency.set(latency);
     }
 
-    fn got_none(&self) {
-        let mut pace = self.pace.get();
-        pace.got_none();
-        self.pace.set(pace);
+    fn record_timeout(&self) {
+        let mut latency = self.append_latency.get();
+        latency.got_none();
+        self.append_latency.set(latency);
     }
 
     /// Returns the time that an append takes.
     const fn append_ms(&self) -> u64 {
-        self.pace.get().usual_ms()
+        self.append_latency.get().usual_ms()
     }
 
     /// Returns when the latest of the calls that were answered had been sent, but for reads that may wait.
@@ -123,17 +123,17 @@
         self.answered_sent_at.get()
     }
 
-    fn timeout_ms(&self, least_ms: u64) -> u64 {
-        let by_usual = self.append_ms() * TIMEOUT_FACTOR;
-        by_usual.clamp(least_ms, TIMEOUT_MOST_MS.max(least_ms))
+    fn append_timeout_ms(&self, min_ms: u64) -> u64 {
+        let by_latency = self.append_ms() * TIMEOUT_FACTOR;
+        by_latency.clamp(min_ms, TIMEOUT_MAX_MS.max(min_ms))
     }
 
     fn hedge_ms(&self) -> u64 {
-        (self.append_ms() * HEDGE_FACTOR).max(HEDGE_LEAST_MS)
+        (self.append_ms() * HEDGE_FACTOR).max(HEDGE_MIN_MS)
     }
 
     /// Says whether what was sent at that time has lost its answer, and does not wait in the row of a slow store.
-    fn is_lost(&self, sent_at: Millis) -> bool {
+    fn is_overtaken(&self, sent_at: Millis) -> bool {
         self.answered_sent_at.get() > sent_at
     }
 }
@@ -151,7 +151,7 @@
 
 /// What is to be appended, and where.
 #[derive(Debug)]
-struct Target<'a> {
+struct AppendTarget<'a> {
     topic: Topic,
     partition: u32,
     records: &'a [Record],
@@ -160,12 +160,12 @@
 
 /// Why tries of one append failed.
 #[derive(Debug, Default)]
-struct Failed {
+struct FailedAttempts {
     doubt: Option<SmolStr>,
     refusal: Option<SmolStr>,
 }
 
-impl Failed {
+impl FailedAttempts {
     /// One try in doubt leaves the whole in doubt; only if each was refused, nothing was done.
     fn into_error(self) -> AppendError {
         match (self.doubt, self.refusal) {
@@ -213,28 +213,30 @@
         records: &[Record],
         condition: &Condition,
     ) -> Result<Appended, AppendError> {
-        let tries = match condition {
+        let max_attempts = match condition {
             Condition::None | Condition::EndsAt(_) => 1,
-            Condition::Producer { .. } => APPEND_TRIES,
+            Condition::Producer { .. } => APPEND_ATTEMPTS,
         };
-        let target = Target {
+        let target = AppendTarget {
             topic,
             partition,
             records,
             condition,
         };
         let began = now();
-        let limit_ms = self.store.timeout_ms(self.settings.timing.store_timeout_ms);
+        let limit_ms = self
+            .store
+            .append_timeout_ms(self.settings.timing.store_timeout_ms);
         let limit = Duration::from_millis(limit_ms);
-        let call = self.append_hedged(&target, tries);
+        let call = self.append_hedged(&target, max_attempts);
         let outcome = match tokio::time::timeout(limit, call).await {
             Ok(outcome) => outcome,
             Err(_elapsed) => {
-                self.store.got_none();
+                self.store.record_timeout();
                 Err(timed_out())
             }
         };
-        self.note_store("append", result_of(&outcome), began);
+        self.record_store_call("append", append_result_label(&outcome), began);
         outcome
     }
 
@@ -250,26 +252,30 @@
             .platform
             .append(Topic::Jobs, partition, records, &Condition::None);
         let mut call = std::pin::pin!(call);
-        let least_ms = self.settings.timing.store_timeout_ms;
-        let early_ms = self.store.limit_ms(least_ms).min(JOBS_LIMIT_MS);
-        let early = tokio::time::timeout(Duration::from_millis(early_ms), call.as_mut()).await;
-        let outcome = match early {
+        let min_ms = self.settings.timing.store_timeout_ms;
+        let soft_limit_ms = self
+            .store
+            .latency_timeout_ms(min_ms)
+            .min(JOBS_APPEND_TIMEOUT_MS);
+        let first = tokio::time::timeout(Duration::from_millis(soft_limit_ms), call.as_mut()).await;
+        let outcome = match first {
             Ok(outcome) => outcome,
             Err(_elapsed) => {
-                self.note_unanswered("append");
-                let left = Duration::from_millis(JOBS_LIMIT_MS.saturating_sub(early_ms));
-                let late = tokio::time::timeout(left, call).await;
-                late.unwrap_or_else(|_elapsed| Err(timed_out()))
+                self.record_unanswered("append");
+                let left =
+                    Duration::from_millis(JOBS_APPEND_TIMEOUT_MS.saturating_sub(soft_limit_ms));
+                let second = tokio::time::timeout(left, call).await;
+                second.unwrap_or_else(|_elapsed| Err(timed_out()))
             }
         };
         if outcome.is_ok() {
-            self.store.note_answer(began);
+            self.store.record_answer(began);
         }
-        self.note_store("append", result_of(&outcome), began);
+        self.record_store_call("append", append_result_label(&outcome), began);
         outcome
     }
 
-    async fn append_once(&self, target: &Target<'_>) -> Result<Appended, AppendError> {
+    async fn append_once(&self, target: &AppendTarget<'_>) -> Result<Appended, AppendError> {
         let sent_at = now();
         let appended = self
             .platform
@@ -280,23 +286,23 @@
                 target.condition,
             )
             .await?;
-        self.store.took(sent_at);
+        self.store.record_append(sent_at);
         Ok(appended)
     }
 
     async fn append_hedged(
         &self,
-        target: &Target<'_>,
-        tries: u32,
+        target: &AppendTarget<'_>,
+        max_attempts: u32,
     ) -> Result<Appended, AppendError> {
         let mut wait_ms = self.store.hedge_ms();
         let mut sent_at = now();
         let mut attempts = 1;
-        let mut failed = Failed::default();
+        let mut failed = FailedAttempts::default();
         let mut calls = FuturesUnordered::new();
         calls.push(self.append_once(target));
         loop {
-            let may_repeat = attempts < tries;
+            let may_repeat = attempts < max_attempts;
             tokio::select! {
                 Some(outcome) = calls.next() => {
                     match outcome {
@@ -313,8 +319,8 @@
                 }
                 () = tokio::time::sleep(Duration::from_millis(wait_ms)), if may_repeat => {
                     let is_first = attempts == 1;
-                    let is_due = now().since(sent_at) >= HEDGE_SLOW_MS;
-                    if !is_first && !is_due && !self.store.is_lost(sent_at) {
+                    let is_due = now().since(sent_at) >= LATER_HEDGE_MS;
+                    if !is_first && !is_due && !self.store.is_overtaken(sent_at) {
                         continue;
                     }
                     wait_ms *= 2;
@@ -335,21 +341,21 @@
         wait_ms: u64,
     ) -> Result<Page, ReadError> {
         let began = now();
-        let least_ms = self.settings.timing.store_timeout_ms;
-        let limit_ms = wait_ms + self.store.limit_ms(least_ms);
+        let min_ms = self.settings.timing.store_timeout_ms;
+        let limit_ms = wait_ms + self.store.latency_timeout_ms(min_ms);
         let call = self.platform.read(topic, partition, from, wait_ms);
-        let outcome = within(limit_ms, call).await;
-        self.note_read("read", &outcome, began);
+        let outcome = read_with_timeout(limit_ms, call).await;
+        self.record_read("read", &outcome, began);
         outcome
     }
 
     /// Reads the newest record of each key from the store.
     pub(crate) async fn newest(&self, topic: Topic, partition: u32) -> Result<Newest, ReadError> {
         let began = now();
-        let limit_ms = self.settings.timing.whole_read_timeout_ms;
+        let limit_ms = self.settings.timing.full_read_timeout_ms;
         let call = self.platform.newest(topic, partition);
-        let outcome = within(limit_ms, call).await;
-        self.note_read("newest", &outcome, began);
+        let outcome = read_with_timeout(limit_ms, call).await;
+        self.record_read("newest", &outcome, began);
         outcome
     }
 
@@ -357,31 +363,31 @@
     pub(crate) async fn probe(&self) {
         let began = now();
         let read = self.platform.read(Topic::Holders, 0, 0, 0);
-        let least_ms = self.settings.timing.probe_timeout_ms;
-        let outcome = within(self.store.limit_ms(least_ms), read).await;
+        let min_ms = self.settings.timing.probe_timeout_ms;
+        let outcome = read_with_timeout(self.store.latency_timeout_ms(min_ms), read).await;
         if outcome.is_ok() {
-            self.store.note_answer(began);
+            self.store.record_answer(began);
         }
-        self.note_read("probe", &outcome, began);
+        self.record_read("probe", &outcome, began);
     }
 
-    fn note_read<T>(&self, kind: &'static str, outcome: &Result<T, ReadError>, began: Millis) {
+    fn record_read<T>(&self, kind: &'static str, outcome: &Result<T, ReadError>, began: Millis) {
         let result = match outcome {
             Ok(_) => "ok",
             Err(ReadError::Gone { .. }) => "gone",
             Err(ReadError::Unavailable(_)) => "refused",
             Err(ReadError::Malformed(_)) => "malformed",
         };
-        self.note_store(kind, result, began);
+        self.record_store_call(kind, result, began);
     }
 
     /// Takes note that a call has had no answer for so long that the store may be away.
-    fn note_unanswered(&self, kind: &'static str) {
+    fn record_unanswered(&self, kind: &'static str) {
         self.store.last_failure_at.set(now());
-        self.review_store(kind, "in_doubt");
+        self.update_store_health(kind, "in_doubt");
     }
 
-    fn note_store(&self, kind: &'static str, result: &'static str, began: Millis) {
+    fn record_store_call(&self, kind: &'static str, result: &'static str, began: Millis) {
         let ended = now();
         self.metrics.store_call(kind, result, ended.since(began));
         if matches!(result, "refused" | "in_doubt") {
@@ -389,21 +395,22 @@
         } else {
             self.store.last_answer_at.set(ended);
         }
-        self.review_store(kind, result);
+        self.update_store_health(kind, result);
     }
 
     /// Judges whether the store answers.
     ///
     /// A store that is down in part fails some calls and answers others at the same time; it counts
     /// as away only when nothing was answered for a while and something failed since.
-    pub(crate) fn review_store(&self, kind: &'static str, result: &'static str) {
+    pub(crate) fn update_store_health(&self, kind: &'static str, result: &'static str) {
         let answered_at = self.store.last_answer_at.get();
         let failed_since = self.store.last_failure_at.get() > answered_at;
         let silent_ms = now().since(answered_at);
-        let answers = !(failed_since && silent_ms > self.store.limit_ms(AWAY_MS));
+        let answers =
+            !(failed_since && silent_ms > self.store.latency_timeout_ms(UNAVAILABLE_AFTER_MS));
         if self.store.answers.replace(answers) != answers {
             log::store_health(answers, kind, result, silent_ms);
-            self.accepting.look_soon();
+            self.submissions.decide_soon();
         }
     }
 }
@@ -412,7 +419,7 @@
     AppendError::InDoubt(SmolStr::new_static("timed out"))
 }
 
-const fn result_of(outcome: &Result<Appended, AppendError>) -> &'static str {
+const fn append_result_label(outcome: &Result<Appended, AppendError>) -> &'static str {
     match outcome {
         Ok(_) => "ok",
         Err(AppendError::Refused(_)) => "refused",
@@ -421,7 +428,7 @@
     }
 }
 
-async fn within<T, F>(limit_ms: u64, call: F) -> Result<T, ReadError>
+async fn read_with_timeout<T, F>(limit_ms: u64, call: F) -> Result<T, ReadError>
 where
     F: Future<Output = Result<T, ReadError>>,
 {
--- a/crates/cell/src/accept.rs
+++ b/crates/cell/src/submissions.rs
@@ -37,11 +37,11 @@
 
 /// A node that takes a record of another answers this much before the other's patience is over: time for the
 /// answer to get there.
-const REPLY_MS: u64 = 100;
+const REPLY_MARGIN_MS: u64 = 100;
 
 /// What became of a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Stored {
+pub enum StoreOutcome {
     /// The store has it.
     Stored,
     /// The store does not have it and never will.
@@ -55,37 +55,37 @@
 
 /// What is known of a record whose caller is answered.
 #[derive(Debug, Clone, Copy)]
-struct Settled {
+struct Settlement {
     outcome: Outcome,
     /// Whether the scheduler knows of it already.
-    is_taken: bool,
+    is_known_to_scheduler: bool,
 }
 
 /// Records on their way into the store.
 #[derive(Debug)]
-pub(crate) struct AcceptQueue {
+pub(crate) struct SubmissionQueue {
     admission: RefCell<Admission>,
-    records: RefCell<SecondaryMap<RecordKey, Waiting>>,
+    records: RefCell<SecondaryMap<RecordKey, PendingRecord>>,
     /// When the next decision is due.
     due_at: Cell<Option<Millis>>,
     /// Says that it is due sooner.
-    sooner: Notify,
+    due_sooner: Notify,
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct PendingRecord {
     record: Record,
-    is_taken: bool,
-    reply: oneshot::Sender<Settled>,
+    is_known_to_scheduler: bool,
+    reply: oneshot::Sender<Settlement>,
 }
 
-impl AcceptQueue {
+impl SubmissionQueue {
     pub(crate) fn new() -> Self {
         Self {
             admission: RefCell::new(Admission::new(AdmitOptions::default())),
             records: RefCell::default(),
             due_at: Cell::new(None),
-            sooner: Notify::new(),
+            due_sooner: Notify::new(),
         }
     }
 
@@ -101,11 +101,11 @@
     /// Answers all callers by a time.
     pub(crate) fn stop_by(&self, at: Millis) {
         self.admission.borrow_mut().stop_by(at);
-        self.look_soon();
+        self.decide_soon();
     }
 
     /// Has the next decision made at once.
-    pub(crate) fn look_soon(&self) {
+    pub(crate) fn decide_soon(&self) {
         if self.is_busy() {
             self.set_due(Some(now()));
         }
@@ -117,26 +117,26 @@
             return;
         };
         if before.is_none_or(|before| at < before) {
-            self.sooner.notify_one();
+            self.due_sooner.notify_one();
         }
     }
 
-    fn copies(&self, keys: &[RecordKey]) -> Vec<Record> {
+    fn clone_records(&self, keys: &[RecordKey]) -> Vec<Record> {
         let records = self.records.borrow();
         let known = keys.iter().filter_map(|key| records.get(*key));
-        known.map(|waiting| waiting.record.clone()).collect()
+        known.map(|pending| pending.record.clone()).collect()
     }
 
     fn answer(&self, key: RecordKey, outcome: Outcome) {
-        let Some(waiting) = self.records.borrow_mut().remove(key) else {
+        let Some(pending) = self.records.borrow_mut().remove(key) else {
             return;
         };
-        let settled = Settled {
+        let settled = Settlement {
             outcome,
-            is_taken: waiting.is_taken,
+            is_known_to_scheduler: pending.is_known_to_scheduler,
         };
         // A caller that left needs no answer.
-        let _left = waiting.reply.send(settled);
+        let _abandoned = pending.reply.send(settled);
     }
 }
 
@@ -145,22 +145,22 @@
     P: Platform,
 {
     /// Stores a job; it is accepted once the store has it.
-    pub async fn submit(self: &Rc<Self>, spec: &JobSpec) -> Stored {
-        let patience_ms = self.settings.timing.submit_limit_ms;
-        self.submit_within(spec, patience_ms).await
+    pub async fn submit(self: &Rc<Self>, spec: &JobSpec) -> StoreOutcome {
+        let timeout_ms = self.settings.timing.submit_timeout_ms;
+        self.submit_within(spec, timeout_ms).await
     }
 
     /// The same for a caller that waits so long for the answer.
-    pub async fn submit_within(self: &Rc<Self>, spec: &JobSpec, patience_ms: u64) -> Stored {
-        let patience_ms = patience_ms.min(self.settings.timing.submit_limit_ms);
+    pub async fn submit_within(self: &Rc<Self>, spec: &JobSpec, timeout_ms: u64) -> StoreOutcome {
+        let timeout_ms = timeout_ms.min(self.settings.timing.submit_timeout_ms);
         let record = records::submitted(spec);
-        self.store_and_tell(record, patience_ms).await
+        self.store_and_notify(record, timeout_ms).await
     }
 
     /// Stores that a job is cancelled.
-    pub async fn cancel(self: &Rc<Self>, id: JobId) -> Stored {
-        let patience_ms = self.settings.timing.submit_limit_ms;
-        self.store_and_tell(records::cancelled(id), patience_ms)
+    pub async fn cancel(self: &Rc<Self>, id: JobId) -> StoreOutcome {
+        let timeout_ms = self.settings.timing.submit_timeout_ms;
+        self.store_and_notify(records::cancelled(id), timeout_ms)
             .await
     }
 
@@ -168,43 +168,43 @@
     ///
     /// The scheduler would find it in the store by itself, but later: by one answer of the store,
     /// which takes a quarter of a second while the store is slow.
-    async fn store_and_tell(self: &Rc<Self>, record: Record, patience_ms: u64) -> Stored {
-        let until = now().plus(patience_ms);
+    async fn store_and_notify(self: &Rc<Self>, record: Record, timeout_ms: u64) -> StoreOutcome {
+        let deadline = now().plus(timeout_ms);
         let key = self
-            .accepting
+            .submissions
             .admission
             .borrow_mut()
-            .offer(record.size(), until);
-        let settled = self.wait_for(key, record.clone()).await;
+            .offer(record.size(), deadline);
+        let settled = self.await_outcome(key, record.clone()).await;
         match settled.outcome {
             Outcome::Stored { partition } => {
-                if !settled.is_taken {
+                if !settled.is_known_to_scheduler {
                     let node = Rc::clone(self);
-                    actix_rt::spawn(async move { node.tell_scheduler(partition, record).await });
+                    actix_rt::spawn(async move { node.notify_scheduler(partition, record).await });
                 }
-                Stored::Stored
+                StoreOutcome::Stored
             }
-            Outcome::Refused { come_back_ms } => Stored::Refused { come_back_ms },
-            Outcome::InDoubt => Stored::InDoubt,
+            Outcome::Refused { come_back_ms } => StoreOutcome::Refused { come_back_ms },
+            Outcome::InDoubt => StoreOutcome::InDoubt,
         }
     }
 
-    async fn wait_for(self: &Rc<Self>, key: RecordKey, record: Record) -> Settled {
+    async fn await_outcome(self: &Rc<Self>, key: RecordKey, record: Record) -> Settlement {
         let (reply, answer) = oneshot::channel();
-        let waiting = Waiting {
+        let pending = PendingRecord {
             record,
-            is_taken: false,
+            is_known_to_scheduler: false,
             reply,
         };
-        self.accepting.records.borrow_mut().insert(key, waiting);
+        self.submissions.records.borrow_mut().insert(key, pending);
         self.decide_admission();
-        answer.await.unwrap_or(Settled {
+        answer.await.unwrap_or(Settlement {
             outcome: Outcome::InDoubt,
-            is_taken: false,
+            is_known_to_scheduler: false,
         })
     }
 
-    async fn tell_scheduler(&self, partition: u32, record: Record) {
+    async fn notify_scheduler(&self, partition: u32, record: Record) {
         if let Some(leader) = self.leader() {
             leader.take_job_record(partition, &record);
             return;
@@ -219,29 +219,29 @@
             partition,
         });
         // Without an answer, the scheduler finds the record in the store.
-        let _told = link
+        let _notified = link
             .call(notice, self.settings.timing.peer_timeout_ms)
             .await;
     }
 
     /// Stores a record of another node, if this is the scheduler's, and tells the scheduler of it.
-    pub(crate) async fn take_over(self: &Rc<Self>, relay: Relay) -> RelayReply {
-        let patience_ms = match relay.patience_ms {
+    pub(crate) async fn store_relayed(self: &Rc<Self>, relay: Relay) -> RelayReply {
+        let timeout_ms = match relay.patience_ms {
             0 => self.settings.timing.store_timeout_ms / 2,
-            patience_ms => patience_ms.saturating_sub(REPLY_MS),
+            patience_ms => patience_ms.saturating_sub(REPLY_MARGIN_MS),
         };
-        let patience_ms = patience_ms.min(self.settings.timing.submit_limit_ms);
+        let timeout_ms = timeout_ms.min(self.settings.timing.submit_timeout_ms);
         let record = Record {
             key: relay.key.into(),
             value: relay.value,
         };
-        let until = now().plus(patience_ms);
+        let deadline = now().plus(timeout_ms);
         let key = self
-            .accepting
+            .submissions
             .admission
             .borrow_mut()
-            .offer_of_other(record.size(), until);
-        let settled = self.wait_for(key, record.clone()).await;
+            .offer_of_other(record.size(), deadline);
+        let settled = self.await_outcome(key, record.clone()).await;
         match settled.outcome {
             Outcome::Stored { partition } => {
                 let leader = self.leader();
@@ -266,7 +266,7 @@
 
     fn admission_view(&self) -> View {
         let link = self.link.borrow();
-        let link = link.as_ref().filter(|link| link.relays());
+        let link = link.as_ref().filter(|link| link.can_relay());
         View {
             store_answers: self.store_answers(),
             answered_sent_at: self.store.answered_sent_at(),
@@ -280,7 +280,7 @@
 
     /// Decides about the records on their way, and carries that out.
     pub(crate) fn decide_admission(self: &Rc<Self>) {
-        let queue = &self.accepting;
+        let queue = &self.submissions;
         let actions = queue
             .admission
             .borrow_mut()
@@ -292,7 +292,7 @@
                     partition,
                     records,
                 } => {
-                    let records = queue.copies(&records);
+                    let records = queue.clone_records(&records);
                     let appended = Rc::clone(self).append_batch(append, partition, records);
                     actix_rt::spawn(appended);
                 }
@@ -300,7 +300,7 @@
                     record,
                     patience_ms,
                 } => {
-                    actix_rt::spawn(Rc::clone(self).hand_over(record, patience_ms));
+                    actix_rt::spawn(Rc::clone(self).relay_record(record, patience_ms));
                 }
                 Action::Answer { record, outcome } => queue.answer(record, outcome),
             }
@@ -315,7 +315,7 @@
             Err(AppendError::InDoubt(_)) => AppendAnswer::InDoubt,
             Err(_) => AppendAnswer::Refused,
         };
-        self.accepting
+        self.submissions
             .admission
             .borrow_mut()
             .append_answered(append, answer, now());
@@ -323,38 +323,38 @@
     }
 
     /// Hands a record to the scheduler's node.
-    async fn hand_over(self: Rc<Self>, key: RecordKey, patience_ms: u64) {
+    async fn relay_record(self: Rc<Self>, key: RecordKey, timeout_ms: u64) {
         let began = now();
         let link = self.link.borrow().clone();
-        let record = self.accepting.copies(&[key]).pop();
-        let said = match (link, record) {
-            (Some(link), Some(record)) => self.relay(&link, key, record, patience_ms).await,
+        let record = self.submissions.clone_records(&[key]).pop();
+        let handed_over = match (link, record) {
+            (Some(link), Some(record)) => self.send_relay(&link, key, record, timeout_ms).await,
             _ => HandedOver::NotSent,
         };
         let took_ms = now().since(began);
-        self.accepting
+        self.submissions
             .admission
             .borrow_mut()
-            .handed_over(key, said, took_ms);
+            .handed_over(key, handed_over, took_ms);
         self.decide_admission();
     }
 
-    async fn relay(
+    async fn send_relay(
         &self,
         link: &HolderLink,
         key: RecordKey,
         record: Record,
-        patience_ms: u64,
+        timeout_ms: u64,
     ) -> HandedOver {
         let query = CellBody::Relay(Relay {
             key: record.key.to_string(),
             value: record.value,
-            patience_ms,
+            patience_ms: timeout_ms,
         });
-        match link.call_patiently(query, patience_ms).await {
+        match link.call_without_reset(query, timeout_ms).await {
             Ok(CellBody::RelayReply(reply)) if reply.stored => {
-                if let Some(waiting) = self.accepting.records.borrow_mut().get_mut(key) {
-                    waiting.is_taken = reply.taken;
+                if let Some(pending) = self.submissions.records.borrow_mut().get_mut(key) {
+                    pending.is_known_to_scheduler = reply.taken;
                 }
                 HandedOver::Stored {
                     partition: reply.partition,
@@ -370,17 +370,17 @@
 }
 
 /// Decides whenever time alone makes that due.
-pub(crate) async fn watch_admission<P>(node: Rc<Node<P>>)
+pub(crate) async fn run_admission_timer<P>(node: Rc<Node<P>>)
 where
     P: Platform,
 {
     loop {
-        let wait_ms = node.accepting.due_at.get().map(|at| at.since(now()));
+        let wait_ms = node.submissions.due_at.get().map(|at| at.since(now()));
         match wait_ms {
-            None => node.accepting.sooner.notified().await,
+            None => node.submissions.due_sooner.notified().await,
             Some(wait_ms) => tokio::select! {
                 () = pause(wait_ms) => node.decide_admission(),
-                () = node.accepting.sooner.notified() => {}
+                () = node.submissions.due_sooner.notified() => {}
             },
         }
     }
--- a/crates/cell/src/unreadable.rs
+++ b/crates/cell/src/unreadable.rs
@@ -12,10 +12,10 @@
 
 /// Names that were told are remembered, until there are so many: whatever others write, memory and log stay
 /// small. Beyond them it is only counted.
-const TOLD_LIMIT: usize = 1_000;
+const LOGGED_LIMIT: usize = 1_000;
 
 /// What is wrong with a record that names nothing.
-pub(crate) const NAMELESS: &str = "its key can't be read";
+pub(crate) const UNREADABLE_KEY: &str = "its key can't be read";
 
 /// Who wrote something.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -58,22 +58,24 @@
     }
 }
 
-/// The names of what can't be read, as far as they were told.
+/// The names of what can't be read, as far as they were logged.
 #[derive(Debug, Default)]
 pub struct Unreadable {
-    told: RefCell<BTreeSet<(Source, SmolStr)>>,
+    logged: RefCell<BTreeSet<(Source, SmolStr)>>,
 }
 
 impl Unreadable {
-    /// Takes note of something that can't be read. Says whether that is to be told.
-    pub fn note(&self, source: Source, name: &str) -> bool {
-        let mut told = self.told.borrow_mut();
-        told.len() < TOLD_LIMIT && told.insert((source, SmolStr::new(name)))
+    /// Takes note of something that can't be read. Says whether that is to be logged.
+    pub fn record(&self, source: Source, name: &str) -> bool {
+        let mut logged = self.logged.borrow_mut();
+        logged.len() < LOGGED_LIMIT && logged.insert((source, SmolStr::new(name)))
     }
 
     /// Takes note that it can be read, or is gone: the next time is news.
     pub fn forget(&self, source: Source, name: &str) {
-        self.told.borrow_mut().remove(&(source, SmolStr::new(name)));
+        self.logged
+            .borrow_mut()
+            .remove(&(source, SmolStr::new(name)));
     }
 }
 
@@ -82,20 +84,20 @@
     P: Platform,
 {
     /// Takes note of something that can't be read.
-    pub(crate) fn note_unreadable(&self, source: Source, name: &str, reason: &str) {
+    pub(crate) fn report_unreadable(&self, source: Source, name: &str, reason: &str) {
         self.metrics.unreadable(source.as_str(), 1);
-        if self.unreadable.note(source, name) {
+        if self.unreadable.record(source, name) {
             log::unreadable(source.as_str(), name, reason);
         }
     }
 
     /// Takes note of the parts of an answer that can't be read.
-    pub(crate) fn note_skipped(&self, source: Source, name: &str, skipped: &Skipped) {
+    pub(crate) fn report_skipped(&self, source: Source, name: &str, skipped: &Skipped) {
         if skipped.parts == 0 {
             return;
         }
         self.metrics.unreadable(source.as_str(), skipped.parts);
-        if self.unreadable.note(source, name) {
+        if self.unreadable.record(source, name) {
             log::unreadable(source.as_str(), name, &skipped.reason);
         }
     }
--- a/crates/cell/tests/cell/clocks.rs
+++ b/crates/cell/tests/cell/clocks.rs
@@ -18,27 +18,27 @@
 use crate::cluster::step;
 
 /// Long enough that a scheduler has looked several times at what is old meanwhile.
-const LOOKS_MS: u64 = 500;
+const SEVERAL_SWEEPS_MS: u64 = 500;
 
 /// More than any topic has.
-const PARTITIONS: u32 = 64;
+const MAX_PARTITIONS: u32 = 64;
 
 const STEP_MS: i64 = 200_000;
 const DAY_MS: i64 = 86_400_000;
 
 /// Whose clock is off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Off {
+enum SkewedClock {
     Acceptor,
     Scheduler,
     Successor,
-    Everyone,
+    All,
 }
 
-impl Off {
-    fn shift_ms(self, node: Self, shift_ms: i64) -> i64 {
-        if self == node || self == Self::Everyone {
-            shift_ms
+impl SkewedClock {
+    fn offset_ms(self, node: Self, offset_ms: i64) -> i64 {
+        if self == node || self == Self::All {
+            offset_ms
         } else {
             0
         }
@@ -51,7 +51,7 @@
 
 fn has_record(cluster: &Cluster, topic: Topic, key: &str) -> bool {
     cluster.platform.with_store(|store| {
-        let partitions = (0..PARTITIONS).map(|partition| store.newest(topic, partition));
+        let partitions = (0..MAX_PARTITIONS).map(|partition| store.newest(topic, partition));
         let records = partitions.flat_map(|newest| newest.records);
         let mut records = records.map(|(_offset, record)| record);
         records.any(|record| record.key == key)
@@ -59,30 +59,30 @@
 }
 
 /// The clocks are off until the first scheduler ends, and right from then on, but for the successor's.
-#[test_case(Off::Acceptor, -STEP_MS; "the acceptor is behind by 200 s")]
-#[test_case(Off::Acceptor, DAY_MS; "the acceptor is ahead by a day")]
-#[test_case(Off::Scheduler, -STEP_MS; "the scheduler is behind by 200 s")]
-#[test_case(Off::Scheduler, STEP_MS; "the scheduler is ahead by 200 s")]
-#[test_case(Off::Scheduler, -DAY_MS; "the scheduler is behind by a day")]
-#[test_case(Off::Scheduler, DAY_MS; "the scheduler is ahead by a day")]
-#[test_case(Off::Successor, -STEP_MS; "the successor is behind by 200 s")]
-#[test_case(Off::Successor, STEP_MS; "the successor is ahead by 200 s")]
-#[test_case(Off::Successor, -DAY_MS; "the successor is behind by a day")]
-#[test_case(Off::Successor, DAY_MS; "the successor is ahead by a day")]
-#[test_case(Off::Everyone, -STEP_MS; "all are behind by 200 s")]
-#[test_case(Off::Everyone, DAY_MS; "all are ahead by a day")]
-fn what_has_ended_is_known_whatever_the_clocks_show(off: Off, shift_ms: i64) {
+#[test_case(SkewedClock::Acceptor, -STEP_MS; "the acceptor is behind by 200 s")]
+#[test_case(SkewedClock::Acceptor, DAY_MS; "the acceptor is ahead by a day")]
+#[test_case(SkewedClock::Scheduler, -STEP_MS; "the scheduler is behind by 200 s")]
+#[test_case(SkewedClock::Scheduler, STEP_MS; "the scheduler is ahead by 200 s")]
+#[test_case(SkewedClock::Scheduler, -DAY_MS; "the scheduler is behind by a day")]
+#[test_case(SkewedClock::Scheduler, DAY_MS; "the scheduler is ahead by a day")]
+#[test_case(SkewedClock::Successor, -STEP_MS; "the successor is behind by 200 s")]
+#[test_case(SkewedClock::Successor, STEP_MS; "the successor is ahead by 200 s")]
+#[test_case(SkewedClock::Successor, -DAY_MS; "the successor is behind by a day")]
+#[test_case(SkewedClock::Successor, DAY_MS; "the successor is ahead by a day")]
+#[test_case(SkewedClock::All, -STEP_MS; "all are behind by 200 s")]
+#[test_case(SkewedClock::All, DAY_MS; "all are ahead by a day")]
+fn ended_jobs_stay_known_with_wrong_clocks(skewed: SkewedClock, offset_ms: i64) {
     let mut cluster = Cluster::start(2, 2);
     let first = cluster.scheduler();
     let other = 1 - first;
-    cluster.set_clock(first, off.shift_ms(Off::Scheduler, shift_ms));
-    cluster.set_clock(other, off.shift_ms(Off::Acceptor, shift_ms));
+    cluster.set_clock(first, skewed.offset_ms(SkewedClock::Scheduler, offset_ms));
+    cluster.set_clock(other, skewed.offset_ms(SkewedClock::Acceptor, offset_ms));
     cluster.submit(other, 1, vec![step(2, 20)]);
     cluster.wait_for_state(other, 1, JobState::Completed);
-    cluster.set_clock(other, off.shift_ms(Off::Successor, shift_ms));
+    cluster.set_clock(other, skewed.offset_ms(SkewedClock::Successor, offset_ms));
     cluster.kill(first);
     let second = cluster.scheduler();
-    cluster.submit(second, 2, vec![step(1, LOOKS_MS)]);
+    cluster.submit(second, 2, vec![step(1, SEVERAL_SWEEPS_MS)]);
     cluster.wait_for_state(second, 2, JobState::Completed);
     let kept = StateAnswer::Known(JobState::Completed);
     assert_eq!(cluster.state(second, 1), kept);
@@ -91,7 +91,7 @@
     cluster.kill(second);
     cluster.wait_for_state(third, 2, JobState::Completed);
     assert_eq!(cluster.state(third, 1), kept);
-    cluster.assert_sound();
+    cluster.assert_no_violations();
 }
 
 /// A step while one scheduler goes on.
@@ -99,30 +99,30 @@
 #[test_case(STEP_MS; "ahead by 200 s")]
 #[test_case(-DAY_MS; "back by a day")]
 #[test_case(DAY_MS; "ahead by a day")]
-fn a_step_in_the_midst_of_the_work_loses_nothing(shift_ms: i64) {
+fn a_clock_step_during_a_job_loses_nothing(offset_ms: i64) {
     let cluster = Cluster::start(1, 2);
     let node = cluster.scheduler();
     cluster.submit(node, 1, vec![step(1, 20)]);
     cluster.wait_for_state(node, 1, JobState::Completed);
-    cluster.submit(node, 2, vec![step(1, LOOKS_MS)]);
-    cluster.set_clock(node, shift_ms);
+    cluster.submit(node, 2, vec![step(1, SEVERAL_SWEEPS_MS)]);
+    cluster.set_clock(node, offset_ms);
     cluster.wait_for_state(node, 2, JobState::Completed);
     cluster.submit(node, 3, vec![step(1, 20)]);
     cluster.set_clock(node, 0);
     cluster.wait_for_state(node, 3, JobState::Completed);
-    cluster.submit(node, 4, vec![step(1, LOOKS_MS)]);
+    cluster.submit(node, 4, vec![step(1, SEVERAL_SWEEPS_MS)]);
     cluster.wait_for_state(node, 4, JobState::Completed);
     for id in 1..=4 {
         let kept = StateAnswer::Known(JobState::Completed);
         assert_eq!(cluster.state(node, id), kept, "job {id}");
     }
-    cluster.assert_sound();
+    cluster.assert_no_violations();
 }
 
 /// Waits until a node knows that the scheduler has heard all clocks.
 fn wait_for_clocks(cluster: &Cluster, number: usize, clocks: u32) {
     cluster.wait("all clocks to be heard", || {
-        let agreed = cluster.on(number, |node| async move { node.agreed_day() });
+        let agreed = cluster.on(number, |node| async move { node.agreed_time() });
         let agreed = agreed.filter(|agreed| agreed.clocks == clocks);
         agreed.map(|_| ())
     });
@@ -133,7 +133,7 @@
     JobSpec {
         schedule: Schedule {
             occurrences: 1,
-            first_at_ms: cluster.day(node).plus(time_ms),
+            first_at_ms: cluster.wall_clock(node).plus(time_ms),
             interval_ms: 0,
         },
         ..job(1, vec![step(1, 20)])
@@ -141,64 +141,70 @@
 }
 
 /// The step is in the midst of the scheduler's work, before the job comes.
-#[test_case(Off::Scheduler, STEP_MS; "the scheduler is ahead by 200 s")]
-#[test_case(Off::Scheduler, DAY_MS; "the scheduler is ahead by a day")]
-#[test_case(Off::Acceptor, STEP_MS; "the acceptor is ahead by 200 s")]
-#[test_case(Off::Acceptor, DAY_MS; "the acceptor is ahead by a day")]
-#[test_case(Off::Everyone, DAY_MS; "all are ahead by a day")]
-fn a_timed_job_does_not_start_before_its_time(off: Off, shift_ms: i64) {
+#[test_case(SkewedClock::Scheduler, STEP_MS; "the scheduler is ahead by 200 s")]
+#[test_case(SkewedClock::Scheduler, DAY_MS; "the scheduler is ahead by a day")]
+#[test_case(SkewedClock::Acceptor, STEP_MS; "the acceptor is ahead by 200 s")]
+#[test_case(SkewedClock::Acceptor, DAY_MS; "the acceptor is ahead by a day")]
+#[test_case(SkewedClock::All, DAY_MS; "all are ahead by a day")]
+fn a_timed_job_does_not_start_before_its_time(skewed: SkewedClock, offset_ms: i64) {
     let cluster = Cluster::start(3, 2);
     let scheduler = cluster.scheduler();
     let acceptor = (scheduler + 1) % 3;
     wait_for_clocks(&cluster, acceptor, 3);
     let timed = due_in(&cluster, acceptor, 150_000);
     for node in 0..3 {
-        cluster.set_clock(node, off.shift_ms(Off::Everyone, shift_ms));
+        cluster.set_clock(node, skewed.offset_ms(SkewedClock::All, offset_ms));
     }
-    cluster.set_clock(scheduler, off.shift_ms(Off::Scheduler, shift_ms));
-    cluster.set_clock(acceptor, off.shift_ms(Off::Acceptor, shift_ms));
+    cluster.set_clock(
+        scheduler,
+        skewed.offset_ms(SkewedClock::Scheduler, offset_ms),
+    );
+    cluster.set_clock(acceptor, skewed.offset_ms(SkewedClock::Acceptor, offset_ms));
     cluster.submit_job(acceptor, &timed);
-    cluster.submit(acceptor, 2, vec![step(1, LOOKS_MS)]);
+    cluster.submit(acceptor, 2, vec![step(1, SEVERAL_SWEEPS_MS)]);
     cluster.wait_for_state(acceptor, 2, JobState::Completed);
     let waits = StateAnswer::Known(JobState::Queued);
     assert_eq!(cluster.state(acceptor, 1), waits);
 }
 
 /// The clock is behind when the job comes; it is due at once.
-#[test_case(Off::Scheduler, -STEP_MS; "the scheduler is behind by 200 s")]
-#[test_case(Off::Scheduler, -DAY_MS; "the scheduler is behind by a day")]
-#[test_case(Off::Acceptor, -STEP_MS; "the acceptor is behind by 200 s")]
-#[test_case(Off::Acceptor, -DAY_MS; "the acceptor is behind by a day")]
-#[test_case(Off::Everyone, -DAY_MS; "all are behind by a day")]
-fn a_timed_job_starts_in_time(off: Off, shift_ms: i64) {
+#[test_case(SkewedClock::Scheduler, -STEP_MS; "the scheduler is behind by 200 s")]
+#[test_case(SkewedClock::Scheduler, -DAY_MS; "the scheduler is behind by a day")]
+#[test_case(SkewedClock::Acceptor, -STEP_MS; "the acceptor is behind by 200 s")]
+#[test_case(SkewedClock::Acceptor, -DAY_MS; "the acceptor is behind by a day")]
+#[test_case(SkewedClock::All, -DAY_MS; "all are behind by a day")]
+fn a_timed_job_starts_in_time(skewed: SkewedClock, offset_ms: i64) {
     let cluster = Cluster::start(3, 2);
     let scheduler = cluster.scheduler();
     let acceptor = (scheduler + 1) % 3;
     wait_for_clocks(&cluster, acceptor, 3);
     let timed = due_in(&cluster, acceptor, 0);
     for node in 0..3 {
-        cluster.set_clock(node, off.shift_ms(Off::Everyone, shift_ms));
+        cluster.set_clock(node, skewed.offset_ms(SkewedClock::All, offset_ms));
     }
-    cluster.set_clock(scheduler, off.shift_ms(Off::Scheduler, shift_ms));
-    cluster.set_clock(acceptor, off.shift_ms(Off::Acceptor, shift_ms));
+    cluster.set_clock(
+        scheduler,
+        skewed.offset_ms(SkewedClock::Scheduler, offset_ms),
+    );
+    cluster.set_clock(acceptor, skewed.offset_ms(SkewedClock::Acceptor, offset_ms));
     cluster.submit_job(acceptor, &timed);
     cluster.wait_for_state(acceptor, 1, JobState::Completed);
-    cluster.assert_sound();
+    cluster.assert_no_violations();
 }
 
 /// A process that begins while its clock is off: the others' clocks count, and what the former scheduler told.
 #[test_case(STEP_MS; "ahead by 200 s")]
 #[test_case(DAY_MS; "ahead by a day")]
-fn a_timed_job_waits_under_a_successor_whose_clock_was_always_off(shift_ms: i64) {
+fn a_timed_job_waits_under_a_successor_started_with_a_wrong_clock(offset_ms: i64) {
     let mut cluster = Cluster::start(1, 2);
     let first = cluster.scheduler();
-    let late = cluster.add_node_with_clock(shift_ms);
+    let late = cluster.add_node_with_clock(offset_ms);
     wait_for_clocks(&cluster, late, 2);
     cluster.submit_job(first, &due_in(&cluster, first, 150_000));
     cluster.kill(first);
     let second = cluster.scheduler();
     assert_eq!(second, late);
-    cluster.submit(second, 2, vec![step(1, LOOKS_MS)]);
+    cluster.submit(second, 2, vec![step(1, SEVERAL_SWEEPS_MS)]);
     cluster.wait_for_state(second, 2, JobState::Completed);
     let waits = StateAnswer::Known(JobState::Queued);
     assert_eq!(cluster.state(second, 1), waits);
@@ -206,13 +212,13 @@
 
 /// A successor that read what was submitted without its progress would run the job again.
 #[test]
-fn progress_is_kept_as_long_as_what_was_submitted() {
-    let cluster = Cluster::start_forgetful(2, 200);
+fn progress_is_kept_as_long_as_the_job_record() {
+    let cluster = Cluster::start_with_retention(2, 200);
     let node = cluster.scheduler();
     let submitted = JobId(1).to_string();
-    cluster.submit(node, 1, vec![step(1, LOOKS_MS)]);
+    cluster.submit(node, 1, vec![step(1, SEVERAL_SWEEPS_MS)]);
     cluster.wait_for_state(node, 1, JobState::Running);
-    let down = (0..PARTITIONS).map(|partition| (Topic::Jobs, partition));
+    let down = (0..MAX_PARTITIONS).map(|partition| (Topic::Jobs, partition));
     cluster.platform.set_faults(SharedFaults {
         down: down.collect(),
         ..SharedFaults::default()
@@ -222,7 +228,7 @@
         (!known).then_some(())
     });
     // Some rounds in which what is forgotten is removed.
-    std::thread::sleep(std::time::Duration::from_millis(3 * LOOKS_MS));
+    std::thread::sleep(std::time::Duration::from_millis(3 * SEVERAL_SWEEPS_MS));
     assert!(has_record(&cluster, Topic::Jobs, &submitted));
     assert!(has_progress(&cluster, 1));
     cluster.platform.set_faults(SharedFaults::default());
--- a/crates/cell/tests/cell/cluster.rs
+++ b/crates/cell/tests/cell/cluster.rs
@@ -9,13 +9,13 @@
 use actix_rt::Arbiter;
 use smol_str::SmolStr;
 use syc_cell::Configuration;
-use syc_cell::DayClock;
 use syc_cell::Node;
 use syc_cell::NodeSettings;
 use syc_cell::Route;
 use syc_cell::StateAnswer;
-use syc_cell::Stored;
+use syc_cell::StoreOutcome;
 use syc_cell::Timing;
+use syc_cell::WallClock;
 use syc_fleet::Plan;
 use syc_fleet::SharedPlatform;
 use syc_sched::AdvicePolicy;
@@ -45,10 +45,10 @@
 const STATUS_MS: u64 = 120_000;
 
 /// Something that must come to be has failed to when this is over.
-const LIMIT: Duration = Duration::from_mins(1);
+const WAIT_LIMIT: Duration = Duration::from_mins(1);
 
 /// Waits look this often.
-const LOOK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 thread_local! {
     static NODE: RefCell<Option<Rc<Node<SharedPlatform>>>> = const { RefCell::new(None) };
@@ -59,7 +59,7 @@
     pub platform: SharedPlatform,
     nodes: Vec<Option<Arbiter>>,
     /// Where each node reads the time of day.
-    clocks: Vec<DayClock>,
+    clocks: Vec<WallClock>,
     status_ms: u64,
     timing: Timing,
     _system: actix_rt::SystemRunner,
@@ -70,14 +70,14 @@
     pub fn start(nodes: usize, workers: usize) -> Self {
         // A read that is never answered must not be waited for.
         let timing = Timing {
-            whole_read_timeout_ms: 600_000,
+            full_read_timeout_ms: 600_000,
             ..Timing::default()
         };
         Self::start_with(nodes, workers, timing)
     }
 
     /// Starts one node that keeps what has ended for so long.
-    pub fn start_forgetful(workers: usize, status_ms: u64) -> Self {
+    pub fn start_with_retention(workers: usize, status_ms: u64) -> Self {
         let mut cluster = Self::start(0, workers);
         cluster.status_ms = status_ms;
         cluster.add_node();
@@ -123,14 +123,14 @@
     }
 
     /// The same with a clock that is off by so much.
-    pub fn add_node_with_clock(&mut self, shift_ms: i64) -> usize {
-        self.add_node_with(shift_ms, LINK_MBPS)
+    pub fn add_node_with_clock(&mut self, offset_ms: i64) -> usize {
+        self.add_node_with(offset_ms, LINK_MBPS)
     }
 
-    fn add_node_with(&mut self, shift_ms: i64, link_mbps: f64) -> usize {
+    fn add_node_with(&mut self, offset_ms: i64, link_mbps: f64) -> usize {
         let number = self.nodes.len();
-        let clock = DayClock::default();
-        clock.set_shift_ms(shift_ms);
+        let clock = WallClock::default();
+        clock.set_offset_ms(offset_ms);
         self.clocks.push(clock.clone());
         let platform = self.platform.for_node(&node_name(number));
         let timing = self.timing;
@@ -142,7 +142,7 @@
                 timing,
                 status_ms,
                 link_mbps,
-                day_clock: clock,
+                wall_clock: clock,
                 ..settings(number, &peers)
             };
             let node = Node::start(platform, settings, peers);
@@ -153,12 +153,12 @@
     }
 
     /// Sets by how much the clock of a node is off.
-    pub fn set_clock(&self, number: usize, shift_ms: i64) {
-        self.clocks[number].set_shift_ms(shift_ms);
+    pub fn set_clock(&self, number: usize, offset_ms: i64) {
+        self.clocks[number].set_offset_ms(offset_ms);
     }
 
     /// Runs something on the thread of a node and returns what it gave.
-    pub fn on<T, F, R>(&self, number: usize, ask: F) -> T
+    pub fn on<T, F, R>(&self, number: usize, call: F) -> T
     where
         T: Send + 'static,
         F: FnOnce(Rc<Node<SharedPlatform>>) -> R + Send + 'static,
@@ -171,10 +171,10 @@
             let node = node.expect("the node has started");
             actix_rt::spawn(async move {
                 // Nobody waits any more where the test has failed.
-                let _unheard = sender.send(ask(node).await);
+                let _unheard = sender.send(call(node).await);
             });
         });
-        receiver.recv_timeout(LIMIT).expect("the node answers")
+        receiver.recv_timeout(WAIT_LIMIT).expect("the node answers")
     }
 
     /// Ends a node without warning.
@@ -185,7 +185,7 @@
     }
 
     /// Returns the numbers of the nodes that are up.
-    pub fn up(&self) -> Vec<usize> {
+    pub fn live_nodes(&self) -> Vec<usize> {
         let numbers = 0..self.nodes.len();
         numbers
             .filter(|number| self.nodes[*number].is_some())
@@ -195,29 +195,29 @@
     /// Waits until a node is the scheduler and returns its number.
     pub fn scheduler(&self) -> usize {
         self.wait("a scheduler", || {
-            self.up()
+            self.live_nodes()
                 .into_iter()
                 .find(|number| self.on(*number, |node| async move { node.is_scheduler() }))
         })
     }
 
     /// Waits until something is there.
-    pub fn wait<T, F>(&self, what: &str, mut look: F) -> T
+    pub fn wait<T, F>(&self, what: &str, mut poll: F) -> T
     where
         F: FnMut() -> Option<T>,
     {
         let nodes = self.nodes.len();
         let mut waited = Duration::ZERO;
         loop {
-            if let Some(found) = look() {
+            if let Some(found) = poll() {
                 return found;
             }
             assert!(
-                waited < LIMIT,
+                waited < WAIT_LIMIT,
                 "{what} did not come to be with {nodes} nodes"
             );
-            std::thread::sleep(LOOK);
-            waited += LOOK;
+            std::thread::sleep(POLL_INTERVAL);
+            waited += POLL_INTERVAL;
         }
     }
 
@@ -228,14 +228,14 @@
 
     /// The same with a job of any kind.
     pub fn submit_job(&self, number: usize, spec: &JobSpec) {
-        self.expect(spec);
+        self.plan_tasks(spec);
         self.wait("the submit to be stored", || {
-            (self.send(number, spec) == Stored::Stored).then_some(())
+            (self.try_submit(number, spec) == StoreOutcome::Stored).then_some(())
         });
     }
 
     /// Returns the time of day of a node.
-    pub fn day(&self, number: usize) -> TimeOfDay {
+    pub fn wall_clock(&self, number: usize) -> TimeOfDay {
         self.clocks[number].read()
     }
 
@@ -248,27 +248,27 @@
     }
 
     /// Submits a job at a node, once.
-    pub fn submit_once(&self, number: usize, id: u64, steps: Vec<StepSpec>) -> Stored {
+    pub fn submit_once(&self, number: usize, id: u64, steps: Vec<StepSpec>) -> StoreOutcome {
         let spec = job(id, steps);
-        self.expect(&spec);
-        self.send(number, &spec)
+        self.plan_tasks(&spec);
+        self.try_submit(number, &spec)
     }
 
     /// Submits two jobs at a node, the second while the first is under way.
-    pub fn submit_behind(&self, number: usize, ids: [u64; 2]) -> [Stored; 2] {
+    pub fn submit_concurrently(&self, number: usize, ids: [u64; 2]) -> [StoreOutcome; 2] {
         let [first, second] = ids.map(|id| job(id, vec![step(1, 20)]));
-        self.expect(&first);
-        self.expect(&second);
+        self.plan_tasks(&first);
+        self.plan_tasks(&second);
         self.on(number, move |node| async move {
-            let behind = Rc::clone(&node);
+            let other = Rc::clone(&node);
             let first = actix_rt::spawn(async move { node.submit(&first).await });
-            actix_rt::time::sleep(LOOK).await;
-            let second = behind.submit(&second).await;
+            actix_rt::time::sleep(POLL_INTERVAL).await;
+            let second = other.submit(&second).await;
             [first.await.expect("an outcome"), second]
         })
     }
 
-    fn send(&self, number: usize, spec: &JobSpec) -> Stored {
+    fn try_submit(&self, number: usize, spec: &JobSpec) -> StoreOutcome {
         let spec = JobSpec {
             accepted_at_ms: self.clocks[number].read(),
             ..spec.clone()
@@ -277,7 +277,7 @@
     }
 
     /// Tells the workers how the tasks of a job go.
-    fn expect(&self, spec: &JobSpec) {
+    fn plan_tasks(&self, spec: &JobSpec) {
         self.platform.with_fleet(|fleet| {
             fleet.judge.submitted(spec.clone());
             for (index, step) in (0..).zip(&spec.steps) {
@@ -313,7 +313,7 @@
     }
 
     /// Fails if any rule was broken on the workers.
-    pub fn assert_sound(&self) {
+    pub fn assert_no_violations(&self) {
         let faults = self
             .platform
             .with_fleet(|fleet| fleet.judge.faults().to_vec());
@@ -345,7 +345,7 @@
         worker_heartbeat_ms: 1_500,
         upkeep_ms: 300,
         vm_order_pause_ms: 100,
-        day_clock: DayClock::default(),
+        wall_clock: WallClock::default(),
         timing: Timing::default(),
     }
 }
@@ -404,7 +404,7 @@
         steps,
         policy: policy(),
         schedule: Schedule::default(),
-        accepted_at_ms: DayClock::default().read(),
+        accepted_at_ms: WallClock::default().read(),
     }
 }
 
--- a/crates/cell/tests/cell/fuzz.rs
+++ b/crates/cell/tests/cell/fuzz.rs
@@ -197,7 +197,7 @@
 
 /// Amounts of all workers are added up: one must not overflow the sum.
 #[test]
-fn a_roster_with_more_than_any_vm_has_is_not_read() {
+fn a_roster_with_an_impossible_capacity_is_rejected() {
     let mut workers = vec![worker(0), worker(1)];
     workers[1].capacity.cpu_millis = u64::MAX;
     let roster = RosterRecord {
@@ -274,11 +274,11 @@
     let read = |frame: &[u8]| CellMessage::decoded(frame).ok();
     any_bytes(read);
     changed_bytes(&sound, read);
-    later_frames(&sound, read);
+    frames_with_an_unknown_field(&sound, read);
 }
 
 /// Gives a reader sound frames with a field of a later version: number 100, a text.
-fn later_frames<T, F>(sound: &[Vec<u8>], read: F)
+fn frames_with_an_unknown_field<T, F>(sound: &[Vec<u8>], read: F)
 where
     T: PartialEq + std::fmt::Debug,
     F: Fn(&[u8]) -> Option<T>,
@@ -327,5 +327,5 @@
     };
     any_bytes(read);
     changed_bytes(&sound, read);
-    later_frames(&sound, read);
+    frames_with_an_unknown_field(&sound, read);
 }
--- a/crates/cell/tests/cell/main.rs
+++ b/crates/cell/tests/cell/main.rs
@@ -3,9 +3,9 @@
 //! Nothing here asserts on elapsed time: a test waits for what must come to be, and fails only where
 //! it has not come long after it had to.
 
+mod clock_agreement;
 mod clocks;
 mod cluster;
-mod day;
 mod fuzz;
 mod roster;
 mod service;
--- a/crates/cell/tests/cell/service.rs
+++ b/crates/cell/tests/cell/service.rs
@@ -2,7 +2,7 @@
 
 use syc_cell::PendingAnswer;
 use syc_cell::StateAnswer;
-use syc_cell::Stored;
+use syc_cell::StoreOutcome;
 use syc_sched::JobId;
 use syc_sched::JobState;
 use syc_sched::StepSpec;
@@ -14,7 +14,7 @@
 use crate::cluster::step;
 
 #[test]
-fn a_job_of_several_steps_is_done_and_every_node_shows_it() {
+fn a_job_of_several_steps_completes_and_every_node_shows_it() {
     let cluster = Cluster::start(3, 2);
     let second = StepSpec {
         after: vec![0],
@@ -23,17 +23,17 @@
     };
     cluster.scheduler();
     cluster.submit(0, 1, vec![step(3, 20), second]);
-    for number in cluster.up() {
+    for number in cluster.live_nodes() {
         cluster.wait_for_state(number, 1, JobState::Completed);
     }
-    cluster.assert_sound();
+    cluster.assert_no_violations();
 }
 
 #[test]
 fn a_repeated_submit_remains_one_job() {
     let cluster = Cluster::start(3, 2);
     cluster.scheduler();
-    for number in cluster.up() {
+    for number in cluster.live_nodes() {
         cluster.submit(number, 1, vec![step(2, 20)]);
     }
     cluster.wait_for_state(0, 1, JobState::Completed);
@@ -41,28 +41,28 @@
     cluster.submit(2, 2, vec![step(1, 20)]);
     cluster.wait_for_state(0, 2, JobState::Completed);
     cluster.wait_for_state(2, 1, JobState::Completed);
-    cluster.assert_sound();
+    cluster.assert_no_violations();
 }
 
 #[test]
-fn a_cancelled_job_is_shown_as_such_and_leaves_its_room() {
+fn a_cancelled_job_is_shown_as_cancelled_and_frees_its_resources() {
     let cluster = Cluster::start(2, 1);
     cluster.scheduler();
     cluster.submit(0, 1, vec![step(4, 600_000)]);
     cluster.wait_for_state(1, 1, JobState::Running);
     let stored = cluster.on(1, |node| async move { node.cancel(JobId(1)).await });
-    assert_eq!(stored, Stored::Stored);
+    assert_eq!(stored, StoreOutcome::Stored);
     cluster.wait_for_state(0, 1, JobState::Cancelled);
     cluster.submit(0, 2, vec![step(4, 20)]);
     cluster.wait_for_state(1, 2, JobState::Completed);
-    cluster.assert_sound();
+    cluster.assert_no_violations();
 }
 
 #[test]
-fn a_job_that_nobody_submitted_is_known_not_to_exist() {
+fn an_unknown_job_is_reported_as_missing() {
     let cluster = Cluster::start(2, 1);
     cluster.scheduler();
-    for number in cluster.up() {
+    for number in cluster.live_nodes() {
         cluster.wait("a clear answer", || {
             let shown = cluster.on(number, |node| async move { node.state(JobId(9)).await });
             (shown == StateAnswer::NoSuchJob).then_some(())
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn the_jobs_of_a_queue_that_have_not_begun_are_counted_at_every_node() {
+fn every_node_counts_the_pending_jobs_of_a_queue() {
     let cluster = Cluster::start(2, 1);
     cluster.scheduler();
     cluster.submit(0, 1, vec![step(4, 600_000)]);
@@ -79,7 +79,7 @@
     for id in 2..5 {
         cluster.submit(1, id, vec![step(4, 20)]);
     }
-    for number in cluster.up() {
+    for number in cluster.live_nodes() {
         cluster.wait("three waiting jobs", || {
             let counted = cluster.on(number, |node| async move { node.pending(QUEUE).await });
             (counted == PendingAnswer::Known(3)).then_some(())
@@ -88,12 +88,12 @@
 }
 
 #[test]
-fn only_a_newer_configuration_comes_into_force() {
+fn only_a_newer_configuration_is_applied() {
     let cluster = Cluster::start(2, 1);
     cluster.platform.publish(configuration(7));
     cluster.platform.publish(configuration(3));
     cluster.platform.publish(configuration(8));
-    for number in cluster.up() {
+    for number in cluster.live_nodes() {
         cluster.wait("version 8", || {
             let version = cluster.on(number, |node| async move {
                 node.configuration().map_or(0, |current| current.version)
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_worker_gets_only_so_many_orders_at_once() {
+fn concurrent_orders_to_one_worker_are_limited() {
     let cluster = Cluster::start(1, 1);
     let node = cluster.scheduler();
     let small = StepSpec {
@@ -118,5 +118,5 @@
     cluster.wait_for_state(node, 1, JobState::Completed);
     let most = cluster.platform.most_orders();
     assert!(most <= 24, "{most} connections to one worker");
-    cluster.assert_sound();
+    cluster.assert_no_violations();
 }
--- a/crates/cell/tests/cell/store.rs
+++ b/crates/cell/tests/cell/store.rs
@@ -8,7 +8,7 @@
 use smol_str::SmolStr;
 use syc_cell::PendingAnswer;
 use syc_cell::StateAnswer;
-use syc_cell::Stored;
+use syc_cell::StoreOutcome;
 use syc_cell::Timing;
 use syc_cell::now;
 use syc_cell::ports::Topic;
@@ -26,7 +26,7 @@
 /// Time that a planned stop has: less than a submit waits for an answer.
 const STOP_MS: u64 = 300;
 
-fn names<I>(numbers: I) -> BTreeSet<SmolStr>
+fn node_names<I>(numbers: I) -> BTreeSet<SmolStr>
 where
     I: IntoIterator<Item = usize>,
 {
@@ -37,45 +37,48 @@
 }
 
 #[test]
-fn a_node_that_the_store_turns_away_accepts_through_the_scheduler() {
+fn a_node_that_the_store_refuses_submits_through_the_scheduler() {
     let cluster = Cluster::start(3, 2);
     let scheduler = cluster.scheduler();
     let others: Vec<_> = cluster
-        .up()
+        .live_nodes()
         .into_iter()
         .filter(|n| *n != scheduler)
         .collect();
     cluster.submit(others[0], 1, vec![step(1, 20)]);
     cluster.wait_for_state(others[0], 1, JobState::Completed);
     cluster.platform.set_faults(SharedFaults {
-        turned_away: names([others[0]]),
+        turned_away: node_names([others[0]]),
         ..SharedFaults::default()
     });
     cluster.submit(others[0], 2, vec![step(1, 20)]);
     cluster.wait_for_state(others[0], 2, JobState::Completed);
-    cluster.assert_sound();
+    cluster.assert_no_violations();
 }
 
 #[test]
-fn a_scheduler_that_the_store_does_not_answer_is_replaced() {
+fn a_scheduler_cut_off_from_the_store_is_replaced() {
     let cluster = Cluster::start(3, 2);
     let first = cluster.scheduler();
     cluster.submit(first, 1, vec![step(2, 2_000)]);
     cluster.wait_for_state(first, 1, JobState::Running);
     cluster.platform.set_faults(SharedFaults {
-        cut_off: names([first]),
+        cut_off: node_names([first]),
         ..SharedFaults::default()
     });
     let second = cluster.wait("another scheduler", || {
-        let mut others = cluster.up().into_iter().filter(|number| *number != first);
+        let mut others = cluster
+            .live_nodes()
+            .into_iter()
+            .filter(|number| *number != first);
         others.find(|number| cluster.on(*number, |node| async move { node.is_scheduler() }))
     });
     cluster.wait_for_state(second, 1, JobState::Completed);
-    cluster.assert_sound();
+    cluster.assert_no_violations();
 }
 
 #[test]
-fn lost_answers_lose_and_double_nothing() {
+fn lost_answers_neither_lose_nor_duplicate_work() {
     let cluster = Cluster::start(2, 2);
     cluster.scheduler();
     for id in 1..=8 {
@@ -89,11 +92,11 @@
     for id in 1..=8 {
         cluster.wait_for_state(1, id, JobState::Completed);
     }
-    cluster.assert_sound();
+    cluster.assert_no_violations();
 }
 
 #[test]
-fn a_submit_outlasts_three_lost_answers() {
+fn a_submit_survives_three_lost_answers() {
     let cluster = Cluster::start(1, 1);
     let node = cluster.scheduler();
     cluster.platform.set_faults(SharedFaults {
@@ -101,23 +104,23 @@
         ..SharedFaults::default()
     });
     let stored = cluster.submit_once(node, 1, vec![step(1, 20)]);
-    assert_eq!(stored, Stored::Stored);
+    assert_eq!(stored, StoreOutcome::Stored);
     cluster.wait_for_state(node, 1, JobState::Completed);
-    cluster.assert_sound();
+    cluster.assert_no_violations();
 }
 
 #[test]
-fn a_submit_behind_one_that_the_store_does_not_answer_is_refused_and_never_runs() {
+fn a_submit_queued_behind_an_unanswered_one_is_refused_and_never_runs() {
     let cluster = Cluster::start(1, 1);
     let node = cluster.scheduler();
     cluster.platform.set_faults(SharedFaults {
-        cut_off: names([node]),
+        cut_off: node_names([node]),
         ..SharedFaults::default()
     });
-    let outcomes = cluster.submit_behind(node, [1, 2]);
+    let outcomes = cluster.submit_concurrently(node, [1, 2]);
     let [first, second] = outcomes;
-    assert_eq!(first, Stored::InDoubt);
-    assert!(matches!(second, Stored::Refused { .. }), "{second:?}");
+    assert_eq!(first, StoreOutcome::InDoubt);
+    assert!(matches!(second, StoreOutcome::Refused { .. }), "{second:?}");
     cluster.platform.set_faults(SharedFaults::default());
     cluster.submit(node, 3, vec![step(1, 20)]);
     cluster.wait_for_state(node, 3, JobState::Completed);
@@ -128,7 +131,7 @@
 /// A planned stop ends when its time is over. A submit that came late in it, over a connection that was kept, waited
 /// for an answer of the store that was lost for longer than that, and was cut without one of its own.
 #[test]
-fn a_planned_stop_answers_what_is_submitted_before_it_ends() {
+fn a_planned_stop_answers_pending_submits_before_its_deadline() {
     let cluster = Cluster::start(1, 1);
     let node = cluster.scheduler();
     cluster.platform.set_faults(SharedFaults {
@@ -148,7 +151,7 @@
     let outcome = outcome
         .expect("an answer before the end")
         .expect("an outcome");
-    assert_eq!(outcome, Stored::InDoubt);
+    assert_eq!(outcome, StoreOutcome::InDoubt);
 }
 
 #[test]
@@ -160,11 +163,14 @@
         node.begin_stop(now()).await;
         node.submit(&spec).await
     });
-    assert!(matches!(outcome, Stored::Refused { .. }), "{outcome:?}");
+    assert!(
+        matches!(outcome, StoreOutcome::Refused { .. }),
+        "{outcome:?}"
+    );
 }
 
 #[test]
-fn a_partition_of_jobs_that_is_down_stops_no_node() {
+fn an_unavailable_jobs_partition_stops_no_node() {
     let cluster = Cluster::start(4, 2);
     cluster.scheduler();
     for down in 0..4 {
@@ -172,19 +178,23 @@
             down: vec![(Topic::Jobs, down)],
             ..SharedFaults::default()
         });
-        for number in cluster.up() {
+        for number in cluster.live_nodes() {
             let id = u64::from(down) * 10 + u64::try_from(number).expect("a small number") + 1;
             let stored = cluster.submit_once(number, id, vec![step(1, 20)]);
-            assert_eq!(stored, Stored::Stored, "partition {down}, node {number}");
+            assert_eq!(
+                stored,
+                StoreOutcome::Stored,
+                "partition {down}, node {number}"
+            );
             cluster.wait_for_state(number, id, JobState::Completed);
         }
     }
-    cluster.assert_sound();
+    cluster.assert_no_violations();
 }
 
 /// A job that was stored in a partition that is not read waits, and nobody counts it.
 #[test]
-fn jobs_are_counted_only_while_every_partition_of_them_is_read() {
+fn jobs_are_counted_only_while_every_jobs_partition_is_read() {
     let cluster = Cluster::start(1, 1);
     let node = cluster.scheduler();
     let count = || cluster.on(node, |node| async move { node.pending(QUEUE).await });
@@ -207,7 +217,7 @@
 /// An answer says what the store had when it was asked. Dated by its arrival, a count could be older than what
 /// counts as current, by the longest read, and miss a job that must be counted.
 #[test]
-fn jobs_are_not_counted_from_answers_that_come_late() {
+fn jobs_are_not_counted_from_stale_reads() {
     let timing = Timing {
         store_timeout_ms: 600_000,
         ..Timing::default()
@@ -236,7 +246,7 @@
 }
 
 #[test]
-fn a_partition_of_progress_that_is_down_stops_nothing_and_a_successor_reads_both() {
+fn an_unavailable_progress_partition_stops_nothing_and_a_successor_reads_both() {
     let mut cluster = Cluster::start(3, 2);
     let first = cluster.scheduler();
     cluster.submit(first, 1, vec![step(1, 20)]);
@@ -255,12 +265,12 @@
     for id in 1..=3 {
         cluster.wait_for_state(second, id, JobState::Completed);
     }
-    cluster.assert_sound();
+    cluster.assert_no_violations();
 }
 
 /// A slow node that read everything again at each try would never be done.
 #[test]
-fn a_takeover_reads_again_only_what_did_not_answer() {
+fn a_takeover_retries_only_the_partition_that_failed() {
     let mut cluster = Cluster::start(2, 2);
     let first = cluster.scheduler();
     cluster.submit(first, 1, vec![step(1, 20)]);
@@ -278,12 +288,12 @@
     let second = cluster.scheduler();
     assert_eq!(cluster.platform.whole_reads(Topic::Jobs, 0), before + 1);
     cluster.wait_for_state(second, 1, JobState::Completed);
-    cluster.assert_sound();
+    cluster.assert_no_violations();
 }
 
 /// What was sent to a store that was silent is never answered, though the store is back.
 #[test]
-fn a_takeover_does_not_wait_for_reads_that_are_never_answered() {
+fn a_takeover_does_not_wait_for_lost_reads() {
     let mut cluster = Cluster::start(2, 2);
     let first = cluster.scheduler();
     cluster.submit(first, 1, vec![step(1, 20)]);
@@ -295,15 +305,15 @@
     cluster.kill(first);
     let second = cluster.scheduler();
     cluster.wait_for_state(second, 1, JobState::Completed);
-    cluster.assert_sound();
+    cluster.assert_no_violations();
 }
 
 #[test]
-fn a_forgotten_history_hides_nothing() {
+fn nodes_catch_up_after_the_store_drops_its_history() {
     let cluster = Cluster::start(2, 2);
     cluster.scheduler();
     cluster.platform.set_faults(SharedFaults {
-        turned_away: names([0, 1]),
+        turned_away: node_names([0, 1]),
         ..SharedFaults::default()
     });
     cluster.platform.publish(configuration(2));
@@ -318,7 +328,7 @@
             .with_store(|store| store.forget_history(topic));
     }
     cluster.platform.set_faults(SharedFaults::default());
-    for number in cluster.up() {
+    for number in cluster.live_nodes() {
         cluster.wait("version 2", || {
             let version = cluster.on(number, |node| async move {
                 node.configuration().map_or(0, |current| current.version)
@@ -328,5 +338,5 @@
     }
     cluster.submit(0, 1, vec![step(2, 20)]);
     cluster.wait_for_state(1, 1, JobState::Completed);
-    cluster.assert_sound();
+    cluster.assert_no_violations();
 }
--- a/crates/cell/tests/cell/takeover.rs
+++ b/crates/cell/tests/cell/takeover.rs
@@ -33,7 +33,7 @@
     for id in 1..=6 {
         cluster.wait_for_state(second, id, JobState::Completed);
     }
-    cluster.assert_sound();
+    cluster.assert_no_violations();
 }
 
 #[test]
@@ -49,7 +49,7 @@
     cluster.wait_for_state(second, 1, JobState::Completed);
     let ready = cluster.on(first, |node| async move { node.is_ready() });
     assert!(!ready, "a node that stops takes no new connections");
-    cluster.assert_sound();
+    cluster.assert_no_violations();
 }
 
 #[test]
@@ -59,13 +59,13 @@
     cluster.submit(0, 1, vec![step(2, 20)]);
     cluster.wait_for_state(1, 1, JobState::Completed);
     cluster.submit(1, 2, vec![step(2, 3_000)]);
-    for number in cluster.up() {
+    for number in cluster.live_nodes() {
         cluster.kill(number);
     }
     let last = cluster.add_node();
     cluster.wait_for_state(last, 2, JobState::Completed);
     cluster.wait_for_state(last, 1, JobState::Completed);
-    cluster.assert_sound();
+    cluster.assert_no_violations();
 }
 
 #[test]
@@ -78,7 +78,7 @@
     let timed = JobSpec {
         schedule: Schedule {
             occurrences: 1,
-            first_at_ms: cluster.day(first).plus(1_500),
+            first_at_ms: cluster.wall_clock(first).plus(1_500),
             interval_ms: 0,
         },
         ..job(2, vec![step(1, 2_000)])
@@ -103,7 +103,7 @@
     cluster.platform.set_faults(SharedFaults::default());
     let second = cluster.scheduler();
     cluster.wait_for_state(second, 2, JobState::Completed);
-    cluster.assert_sound();
+    cluster.assert_no_violations();
 }
 
 #[test]
@@ -126,7 +126,7 @@
     cluster.platform.set_faults(SharedFaults::default());
     cluster.submit(first, 2, vec![step(1, 20)]);
     cluster.wait_for_state(first, 2, JobState::Completed);
-    cluster.assert_sound();
+    cluster.assert_no_violations();
 }
 
 #[test]
@@ -137,7 +137,7 @@
         link_mbps: 10.0,
         ..ample.clone()
     };
-    let latest_of_ample_ms = ample.claim_delay_ms() + ample.timing.claim_spread_ms;
+    let latest_of_ample_ms = ample.claim_delay_ms() + ample.timing.claim_jitter_ms;
     assert!(thin.claim_delay_ms() > 2 * latest_of_ample_ms);
 }
 
@@ -146,13 +146,13 @@
 #[test]
 fn a_node_with_an_ample_link_is_chosen_when_the_first_configuration_comes() {
     let timing = Timing {
-        thin_link_delay_ms: 3_000,
+        slow_link_claim_delay_ms: 3_000,
         ..Timing::default()
     };
     let mut links_mbps = [10.0; 10];
     links_mbps[9] = 1_000.0;
     let cluster = Cluster::start_unconfigured(&links_mbps, timing);
-    std::thread::sleep(Duration::from_millis(timing.thin_link_delay_ms + 500));
+    std::thread::sleep(Duration::from_millis(timing.slow_link_claim_delay_ms + 500));
     cluster.platform.publish(configuration(1));
     assert_eq!(cluster.scheduler(), 9);
 }
@@ -169,7 +169,7 @@
     cluster.kill(first);
     assert_eq!(cluster.scheduler(), spare);
     cluster.wait_for_state(spare, 1, JobState::Completed);
-    cluster.assert_sound();
+    cluster.assert_no_violations();
 }
 
 /// A heartbeat that was carried out and not answered has the number that the next append would get: a release
@@ -177,8 +177,8 @@
 #[test]
 fn a_role_that_is_handed_on_while_a_heartbeat_is_unanswered_is_free_at_once() {
     let timing = Timing {
-        silence_ms: 600_000,
-        gone_silence_ms: 600_000,
+        heartbeat_timeout_ms: 600_000,
+        suspected_heartbeat_timeout_ms: 600_000,
         ..Timing::default()
     };
     let cluster = Cluster::start_with(2, 1, timing);
@@ -199,7 +199,10 @@
     });
     cluster.platform.set_faults(SharedFaults::default());
     cluster.wait("a successor", || {
-        let mut others = cluster.up().into_iter().filter(|number| *number != first);
+        let mut others = cluster
+            .live_nodes()
+            .into_iter()
+            .filter(|number| *number != first);
         others.find(|number| cluster.on(*number, |node| async move { node.is_scheduler() }))
     });
 }
--- a/crates/cell/tests/cell/unreadable.rs
+++ b/crates/cell/tests/cell/unreadable.rs
@@ -37,15 +37,15 @@
 /// Partitions that hold the progress of jobs.
 const PROGRESS_PARTITIONS: u32 = 2;
 
-fn put(cluster: &Cluster, topic: Topic, partition: u32, key: &str, value: &'static [u8]) {
+fn append_value(cluster: &Cluster, topic: Topic, partition: u32, key: &str, value: &'static [u8]) {
     let record = Record {
         key: key.into(),
         value: Bytes::from_static(value),
     };
-    append(cluster, topic, partition, &record);
+    append_record(cluster, topic, partition, &record);
 }
 
-fn append(cluster: &Cluster, topic: Topic, partition: u32, record: &Record) {
+fn append_record(cluster: &Cluster, topic: Topic, partition: u32, record: &Record) {
     cluster.platform.with_store(|store| {
         let records = std::slice::from_ref(record);
         let appended = store.append(topic, partition, records, &Condition::None);
@@ -54,7 +54,7 @@
 }
 
 /// Returns how often a node found something of a source unreadable.
-fn counted(cluster: &Cluster, node: usize, source: &str) -> u64 {
+fn unreadable_count(cluster: &Cluster, node: usize, source: &str) -> u64 {
     let page = cluster.on(node, |node| async move { node.metrics_page() });
     let label = format!("source=\"{source}\"");
     let mut lines = page.lines();
@@ -67,7 +67,7 @@
 
 fn wait_until_counted(cluster: &Cluster, node: usize, source: &str, count: u64) {
     cluster.wait("it to be counted", || {
-        (counted(cluster, node, source) >= count).then_some(())
+        (unreadable_count(cluster, node, source) >= count).then_some(())
     });
 }
 
@@ -82,10 +82,10 @@
 }
 
 #[test]
-fn a_bad_newest_configuration_leaves_the_last_good_one_in_force() {
+fn an_unreadable_configuration_leaves_the_previous_one_in_force() {
     let mut cluster = Cluster::start(1, 1);
     cluster.scheduler();
-    put(&cluster, Topic::Operators, 0, "config", b"\xff{");
+    append_value(&cluster, Topic::Operators, 0, "config", b"\xff{");
     wait_until_counted(&cluster, 0, "operators", 1);
     assert_eq!(version(&cluster, 0), Some(1));
     cluster.submit(0, 1, vec![step(1, 20)]);
@@ -101,12 +101,12 @@
             (version(&cluster, node) == Some(3)).then_some(())
         });
     }
-    cluster.assert_sound();
+    cluster.assert_no_violations();
 }
 
 /// A later version of ourselves wrote it: what of the job is done is not known here.
 #[test]
-fn nothing_starts_of_a_job_whose_progress_cannot_be_read() {
+fn a_job_with_unreadable_progress_starts_no_tasks() {
     let mut cluster = Cluster::start(2, 2);
     let first = cluster.scheduler();
     cluster.submit(first, 1, vec![step(1, 20), after_first(step(1, 600_000))]);
@@ -126,7 +126,7 @@
     let key = format!("{:016x}", 1);
     cluster.kill(first);
     for partition in 0..PROGRESS_PARTITIONS {
-        put(
+        append_value(
             &cluster,
             Topic::Progress,
             partition,
@@ -138,8 +138,8 @@
     cluster.submit(second, 2, vec![step(1, 20)]);
     cluster.wait_for_state(second, 2, JobState::Completed);
     assert_eq!(state(&cluster, second, 1), StateAnswer::Unsure);
-    assert!(counted(&cluster, second, "progress") >= 1);
-    cluster.assert_sound();
+    assert!(unreadable_count(&cluster, second, "progress") >= 1);
+    cluster.assert_no_violations();
 }
 
 fn after_first(step: StepSpec) -> StepSpec {
@@ -151,17 +151,17 @@
 
 /// Whoever submitted it must not hear that it does not exist.
 #[test]
-fn a_job_whose_record_cannot_be_read_is_not_denied() {
+fn a_job_with_an_unreadable_record_is_not_reported_as_missing() {
     let mut cluster = Cluster::start(2, 1);
     let first = cluster.scheduler();
-    put(
+    append_value(
         &cluster,
         Topic::Jobs,
         1,
         "00000000000000a1",
         b"{\"steps\":0}",
     );
-    put(&cluster, Topic::Jobs, 1, "no job at all", b"{}");
+    append_value(&cluster, Topic::Jobs, 1, "no job at all", b"{}");
     wait_until_counted(&cluster, first, "jobs", 2);
     assert_eq!(state(&cluster, first, 0xa1), StateAnswer::Unsure);
     cluster.submit(first, 1, vec![step(1, 20)]);
@@ -169,9 +169,9 @@
     cluster.kill(first);
     let second = cluster.scheduler();
     assert_eq!(state(&cluster, second, 0xa1), StateAnswer::Unsure);
-    assert!(counted(&cluster, second, "jobs") >= 2);
+    assert!(unreadable_count(&cluster, second, "jobs") >= 2);
     // Once it is removed, it is as any other that there never was.
-    put(&cluster, Topic::Jobs, 1, "00000000000000a1", b"");
+    append_value(&cluster, Topic::Jobs, 1, "00000000000000a1", b"");
     cluster.wait("it to be forgotten", || {
         (state(&cluster, second, 0xa1) == StateAnswer::NoSuchJob).then_some(())
     });
@@ -183,14 +183,14 @@
 #[test_case(&job(0xa2, vec![step(4_000_000_000, 20)]); "more tasks than a job may have")]
 #[test_case(&job(0xa2, vec![step(1, u64::MAX), after_first(step(1, u64::MAX))]); "times without end")]
 #[test_case(&JobSpec { id: JobId(0xa3), ..job(0xa2, vec![step(1, 20)]) }; "another job")]
-fn a_job_that_makes_no_sense_is_not_taken(spec: &JobSpec) {
+fn an_invalid_job_is_not_scheduled(spec: &JobSpec) {
     let mut cluster = Cluster::start(2, 1);
     let first = cluster.scheduler();
     let record = Record {
         key: "00000000000000a2".into(),
         ..submitted(spec)
     };
-    append(&cluster, Topic::Jobs, 1, &record);
+    append_record(&cluster, Topic::Jobs, 1, &record);
     wait_until_counted(&cluster, first, "jobs", 1);
     cluster.submit(first, 1, vec![step(1, 20)]);
     cluster.wait_for_state(first, 1, JobState::Completed);
@@ -199,12 +199,12 @@
     let second = cluster.scheduler();
     cluster.submit(second, 2, vec![step(1, 20)]);
     cluster.wait_for_state(second, 2, JobState::Completed);
-    cluster.assert_sound();
+    cluster.assert_no_violations();
 }
 
 /// Without the list of those that may run something, a successor waits until no lease can be left.
 #[test]
-fn a_successor_that_cannot_read_the_roster_starts_nothing_that_may_run() {
+fn a_successor_with_an_unreadable_roster_starts_nothing_that_may_be_running() {
     let mut cluster = Cluster::start(2, 1);
     let first = cluster.scheduler();
     cluster.submit(first, 1, vec![step(1, 600_000)]);
@@ -213,14 +213,14 @@
     // Its worker is off the list, and nothing says that the job was given to it.
     cluster.platform.unlist(&worker(0).id);
     for partition in 0..PROGRESS_PARTITIONS {
-        put(
+        append_value(
             &cluster,
             Topic::Progress,
             partition,
             "workers/0",
             b"{\"later\":1}",
         );
-        put(
+        append_value(
             &cluster,
             Topic::Progress,
             partition,
@@ -239,12 +239,12 @@
             .with_fleet(|fleet| fleet.runs_on(&WorkerId::new("w-1")));
         (runs == 1).then_some(())
     });
-    cluster.assert_sound();
+    cluster.assert_no_violations();
 }
 
 /// A clock is only added to; one that reads too much must not end the renewals.
 #[test]
-fn a_worker_with_a_clock_beyond_all_time_is_renewed_on() {
+fn leases_are_renewed_on_a_worker_whose_clock_would_overflow() {
     let cluster = Cluster::start(1, 1);
     let node = cluster.scheduler();
     cluster.platform.set_faults(SharedFaults {
@@ -257,14 +257,14 @@
     });
     cluster.platform.set_faults(SharedFaults::default());
     cluster.wait_for_state(node, 1, JobState::Completed);
-    cluster.assert_sound();
+    cluster.assert_no_violations();
 }
 
 #[test]
-fn a_heartbeat_that_cannot_be_read_changes_nothing() {
+fn an_unreadable_heartbeat_changes_nothing() {
     let cluster = Cluster::start(2, 1);
     let first = cluster.scheduler();
-    put(&cluster, Topic::Holders, 0, "holder", b"{\"node\":7}");
+    append_value(&cluster, Topic::Holders, 0, "holder", b"{\"node\":7}");
     for node in [0, 1] {
         wait_until_counted(&cluster, node, "holders", 1);
     }
@@ -274,28 +274,31 @@
 }
 
 #[test]
-fn each_name_is_told_once_until_it_could_be_read() {
+fn each_name_is_logged_once_until_it_is_readable_again() {
     let unreadable = Unreadable::default();
-    assert!(unreadable.note(Source::Workers, "w-0"));
-    assert!(!unreadable.note(Source::Workers, "w-0"));
-    assert!(unreadable.note(Source::Workers, "w-1"));
-    assert!(unreadable.note(Source::WorkerAnswers, "w-0"));
+    assert!(unreadable.record(Source::Workers, "w-0"));
+    assert!(!unreadable.record(Source::Workers, "w-0"));
+    assert!(unreadable.record(Source::Workers, "w-1"));
+    assert!(unreadable.record(Source::WorkerAnswers, "w-0"));
     unreadable.forget(Source::Workers, "w-0");
-    assert!(unreadable.note(Source::Workers, "w-0"));
+    assert!(unreadable.record(Source::Workers, "w-0"));
 }
 
 /// Whoever writes new names for ever fills neither the memory nor the log.
 #[test]
-fn beyond_a_thousand_names_no_more_are_told() {
+fn at_most_a_thousand_names_are_logged() {
     let unreadable = Unreadable::default();
-    let mut told = 0;
+    let mut logged = 0;
     for number in 0..5_000 {
         let name = format!("w-{number}");
-        told += u32::from(unreadable.note(Source::Workers, &name));
+        logged += u32::from(unreadable.record(Source::Workers, &name));
     }
-    assert_eq!(told, 1_000);
+    assert_eq!(logged, 1_000);
     unreadable.forget(Source::Workers, "w-7");
-    assert!(unreadable.note(Source::Workers, "w-5000"), "there is room");
+    assert!(
+        unreadable.record(Source::Workers, "w-5000"),
+        "there is room"
+    );
 }
 
 /// Calls a node as another would, and returns what it answers.
@@ -307,7 +310,7 @@
 }
 
 #[test]
-fn frames_that_cannot_be_read_are_counted_and_answered_with_nothing() {
+fn unreadable_frames_are_counted_and_get_an_empty_reply() {
     let cluster = Cluster::start(1, 1);
     let node = cluster.scheduler();
     let reply = CellMessage::encoded(CellBody::ContactReply(ContactReply {
@@ -319,7 +322,7 @@
     for frame in [Bytes::from_static(b"\xff\xff\xff"), later, reply] {
         assert_eq!(call(&cluster, node, frame), Bytes::new());
     }
-    assert_eq!(counted(&cluster, node, "peers"), 3);
+    assert_eq!(unreadable_count(&cluster, node, "peers"), 3);
     let contact = CellMessage::encoded(CellBody::Contact(Contact {
         node: "other".into(),
         address: "nowhere".into(),
@@ -328,7 +331,7 @@
     for _ in 0..2 {
         call(&cluster, node, contact.clone());
     }
-    assert_eq!(counted(&cluster, node, "peers"), 5);
+    assert_eq!(unreadable_count(&cluster, node, "peers"), 5);
     cluster.submit(node, 1, vec![step(1, 20)]);
     cluster.wait_for_state(node, 1, JobState::Completed);
 }
@@ -336,7 +339,7 @@
 /// The scheduler removes a job's records where it was told they are: a partition that is not there would
 /// be made, and with it a topic.
 #[test]
-fn a_notice_of_a_partition_that_is_not_there_is_not_taken() {
+fn a_notice_for_an_unknown_partition_is_rejected() {
     let cluster = Cluster::start(1, 1);
     let node = cluster.scheduler();
     let record = submitted(&job(0xa4, vec![step(1, 20)]));
@@ -348,5 +351,5 @@
     let answer = call(&cluster, node, notice);
     let refused = CellBody::NoticeReply(NoticeReply { taken: false });
     assert_eq!(CellMessage::decoded(&answer).ok(), Some(refused));
-    assert_eq!(counted(&cluster, node, "peers"), 1);
+    assert_eq!(unreadable_count(&cluster, node, "peers"), 1);
 }
--- a/crates/cell/tests/cell/vms.rs
+++ b/crates/cell/tests/cell/vms.rs
@@ -40,10 +40,10 @@
     cluster
 }
 
-fn assert_sound(cluster: &Cluster) {
+fn assert_no_violations(cluster: &Cluster) {
     let faults = cluster.platform.with_vms(|vms| vms.faults().to_vec());
     assert_eq!(faults, []);
-    cluster.assert_sound();
+    cluster.assert_no_violations();
 }
 
 fn wait_until_completed(cluster: &Cluster) {
@@ -61,7 +61,7 @@
     cluster.wait("the wave to be told", || cluster.platform.wave_told(WAVE));
     wait_until_completed(&cluster);
     assert_eq!(cluster.platform.with_vms(|vms| vms.upkeeps()), 3);
-    assert_sound(&cluster);
+    assert_no_violations(&cluster);
 }
 
 #[test]
@@ -76,7 +76,7 @@
     cluster.kill(first);
     wait_until_completed(&cluster);
     assert_eq!(cluster.platform.with_vms(|vms| vms.upkeeps()), 4);
-    assert_sound(&cluster);
+    assert_no_violations(&cluster);
 }
 
 #[test]
@@ -92,7 +92,7 @@
     cluster.platform.publish_wave(wave(3));
     wait_until_completed(&cluster);
     cluster.wait_for_state(node, 1, JobState::Completed);
-    assert_sound(&cluster);
+    assert_no_violations(&cluster);
 }
 
 #[test]
@@ -117,5 +117,5 @@
         })
     });
     cluster.wait_for_state(node, 1, JobState::Completed);
-    assert_sound(&cluster);
+    assert_no_violations(&cluster);
 }
--- a/crates/cell/tests/cell/workers.rs
+++ b/crates/cell/tests/cell/workers.rs
@@ -40,7 +40,7 @@
         ..worker(0)
     });
     cluster.wait_for_state(node, 1, JobState::Completed);
-    cluster.assert_sound();
+    cluster.assert_no_violations();
 }
 
 /// A successor that leaves out a worker because of its entry never learns what runs there.
@@ -66,7 +66,7 @@
         ..worker(1)
     });
     cluster.wait_for_state(second, 2, JobState::Completed);
-    cluster.assert_sound();
+    cluster.assert_no_violations();
 }
 
 #[test]
@@ -93,7 +93,7 @@
         ..worker(1)
     });
     cluster.wait_for_state(node, 2, JobState::Completed);
-    cluster.assert_sound();
+    cluster.assert_no_violations();
 }
 
 /// Its tasks start again only where they surely run no more; the judge sees one that runs twice.
@@ -118,7 +118,7 @@
             .with_fleet(|fleet| fleet.runs_on(&WorkerId::new("w-1")));
         (runs == 2).then_some(())
     });
-    cluster.assert_sound();
+    cluster.assert_no_violations();
 }
 
 /// It answers renewals all the while. A node that asked it again without any wait sent it a thousand a second.
@@ -134,7 +134,7 @@
     complete_jobs(&cluster, node, 4);
     let renewals = cluster.platform.renewals_of(&resetting);
     assert!(renewals < 500, "{renewals}");
-    cluster.assert_sound();
+    cluster.assert_no_violations();
 }
 
 #[test]
@@ -162,7 +162,7 @@
         silent.is_some_and(|line| line.ends_with(" 0")),
         "{silent:?}"
     );
-    cluster.assert_sound();
+    cluster.assert_no_violations();
 }
 
 /// Renewals and orders were given up before their answers came, so that each worker counted as silent for good.
@@ -175,7 +175,7 @@
     });
     let node = cluster.scheduler();
     complete_jobs(&cluster, node, 4);
-    cluster.assert_sound();
+    cluster.assert_no_violations();
 }
 
 /// It was taken as not sent, its run as ended, and its worker got nothing for a while: what a worker that is slow to
@@ -201,5 +201,5 @@
         RunEvent::Ended { .. } | RunEvent::Acknowledged { .. } => None,
     });
     assert_eq!(runs.collect::<Vec<_>>(), [1, 1]);
-    cluster.assert_sound();
+    cluster.assert_no_violations();
 }
--- a/crates/fleet/src/shared/ports.rs
+++ b/crates/fleet/src/shared/ports.rs
@@ -11,8 +11,7 @@
 use syc_cell::ports::Appended;
 use syc_cell::ports::Condition;
 use syc_cell::ports::FormatError;
-use syc_cell::ports::Formats;
-use syc_cell::ports::ListError;
+use syc_cell::ports::ListVmsError;
 use syc_cell::ports::Newest;
 use syc_cell::ports::OrderError;
 use syc_cell::ports::PaceCommand;
@@ -20,6 +19,7 @@
 use syc_cell::ports::Published;
 use syc_cell::ports::ReadError;
 use syc_cell::ports::Record;
+use syc_cell::ports::RecordFormats;
 use syc_cell::ports::Renewal;
 use syc_cell::ports::Renewed;
 use syc_cell::ports::StartCommand;
@@ -216,7 +216,7 @@
     }
 }
 
-impl Formats for SharedPlatform {
+impl RecordFormats for SharedPlatform {
     fn worker(&self, key: &str, _value: &[u8]) -> Result<WorkerSpec, FormatError> {
         let state = self.lock();
         let spec = state.specs.get(key).cloned();
@@ -246,7 +246,7 @@
 }
 
 impl VmPort for SharedPlatform {
-    async fn list_vms(&self, from: Option<&str>, _timeout_ms: u64) -> Result<VmPage, ListError> {
+    async fn list_vms(&self, from: Option<&str>, _timeout_ms: u64) -> Result<VmPage, ListVmsError> {
         pause(CALL_MS).await;
         self.bring_vms_back();
         let listed = self.lock().vms.list();
--- a/crates/fleet/src/store.rs
+++ b/crates/fleet/src/store.rs
@@ -59,7 +59,7 @@
         match condition {
             Condition::None => Ok(partition.add(records)),
             Condition::EndsAt(end) if *end == partition.end => Ok(partition.add(records)),
-            Condition::EndsAt(_) => Err(AppendError::EndsElsewhere { end: partition.end }),
+            Condition::EndsAt(_) => Err(AppendError::EndMismatch { end: partition.end }),
             Condition::Producer {
                 name,
                 epoch,
