--- a/crates/cell/src/leader.rs
+++ b/crates/cell/src/leader.rs
@@ -31,7 +31,7 @@
 use smol_str::SmolStr;
 use syc_net::PeerClient;
 use syc_sched::Action;
-use syc_sched::Advisers;
+use syc_sched::AdviceNodes;
 use syc_sched::Authority;
 use syc_sched::Counts;
 use syc_sched::Event;
@@ -110,7 +110,7 @@
     /// Tells that progress was written.
     written: Notify,
     sessions: RefCell<SecondaryMap<WorkerKey, Session>>,
-    advisers: RefCell<Advisers>,
+    advisers: RefCell<AdviceNodes>,
     /// Time beyond the expected that answers of the advice service take.
     advice_patience: Patience,
     /// Links to the nodes that call for advice, but for the scheduler's own.
@@ -148,8 +148,8 @@
         let mut scheduler = Scheduler::new(options);
         scheduler.set_jobs_read(Millis(0));
         scheduler.set_chosen(now());
-        scheduler.require_proof();
-        scheduler.set_predecessors_prove(predecessors_prove);
+        scheduler.require_leadership_proof();
+        scheduler.set_predecessors_require_proof(predecessors_prove);
         let leader = Rc::new(Self {
             node: Rc::clone(node),
             token,
@@ -165,7 +165,7 @@
             write: Notify::new(),
             written: Notify::new(),
             sessions: RefCell::default(),
-            advisers: RefCell::new(Advisers::with_own(node.settings.name.clone(), now())),
+            advisers: RefCell::new(AdviceNodes::with_local(node.settings.name.clone(), now())),
             advice_patience: Patience::default(),
             adviser_clients: RefCell::default(),
             jobs_read_at: RefCell::new(vec![Millis(0); partitions]),
@@ -248,7 +248,7 @@
         let actions = self.scheduler.borrow_mut().handle(event, now());
         self.perform(actions);
         self.look.notify_one();
-        if self.scheduler.borrow().has_records() {
+        if self.scheduler.borrow().has_unrecorded_changes() {
             self.write.notify_one();
         }
     }
@@ -267,7 +267,7 @@
                 scheduler.schedule(now())
             };
             self.perform(actions);
-            if self.scheduler.borrow().has_records() {
+            if self.scheduler.borrow().has_unrecorded_changes() {
                 self.write.notify_one();
             }
             pause(LOOK_SPACING_MS).await;
@@ -361,7 +361,7 @@
             let name = SmolStr::from(contact.node.as_str());
             self.day.borrow_mut().note(name, day);
         }
-        1 + self.advisers.borrow().others_before(&contact.node)
+        1 + self.advisers.borrow().remote_nodes_before(&contact.node)
     }
 
     /// Returns the time of day that timed jobs are due by.
@@ -372,7 +372,7 @@
     /// Has timed jobs due by the time of day that the nodes agree on.
     pub(crate) fn follow_day(&self) {
         let agreed = self.agreed_day();
-        self.scheduler.borrow_mut().set_day(agreed.day);
+        self.scheduler.borrow_mut().set_wall_clock(agreed.day);
     }
 
     /// Takes note that another node follows this scheduler.
@@ -389,20 +389,20 @@
 
     /// Takes note that the store took an append under the fencing token that was sent at a time.
     fn note_taken(&self, sent_at: Millis) {
-        self.authority.borrow_mut().note_taken(sent_at);
+        self.authority.borrow_mut().note_append(sent_at);
     }
 
     /// Returns the time from which a lease counts that was decided on at a time; none where a successor may have been
     /// chosen so long ago that this node must give no orders any more.
     fn lease_from(&self, decided_at: Millis) -> Option<Millis> {
-        self.authority.borrow().lease_from(decided_at, now())
+        self.authority.borrow().lease_start(decided_at, now())
     }
 
     /// Says whether half of the workers have been silent for longer than they are given to answer.
     ///
     /// With a fixed time, nodes handed the role round over workers that are all slow to answer.
     fn is_cut_from_workers(&self, now: Millis) -> bool {
-        if self.scheduler.borrow().hears_half() {
+        if self.scheduler.borrow().half_of_workers_respond() {
             self.heard_workers_at.set(now);
             return false;
         }
@@ -411,7 +411,7 @@
 
     /// Hands the role on if this node seems cut off while the store, and so the others, may not be.
     pub(crate) fn watch_self(self: &Rc<Self>) {
-        if self.authority.borrow().is_over(now()) {
+        if self.authority.borrow().is_expired(now()) {
             self.end("isolated");
             return;
         }
@@ -449,13 +449,14 @@
     let status_drift_ms = settings.status_ms * CLOCK_DRIFT_PER_MILLE / 1_000;
     Options {
         lease_bound_ms: lease_ms + drift_ms + ORDER_TRAVEL_MS,
-        longest_lease_ms: longest_ms + longest_drift_ms + ORDER_TRAVEL_MS,
-        stop_ms: settings.stop_limit_ms,
-        status_ms: settings.status_ms + status_drift_ms,
-        upkeep_ms: settings.upkeep_ms,
+        max_lease_ms: longest_ms + longest_drift_ms + ORDER_TRAVEL_MS,
+        max_stop_ms: settings.stop_limit_ms,
+        ended_job_retention_ms: settings.status_ms + status_drift_ms,
+        maintenance_ms: settings.upkeep_ms,
         vm_order_pause_ms: settings.vm_order_pause_ms,
         order_retry_ms: settings.timing.order_timeout_ms,
-        told_within_ms: settings.worker_heartbeat_ms * HEARTBEATS_MISSED + HEARTBEAT_TRAVEL_MS,
+        capacity_report_deadline_ms: settings.worker_heartbeat_ms * HEARTBEATS_MISSED
+            + HEARTBEAT_TRAVEL_MS,
         ..Options::default()
     }
 }
--- a/crates/cell/src/leader/advice.rs
+++ b/crates/cell/src/leader/advice.rs
@@ -44,9 +44,9 @@
         };
         let name = SmolStr::from(contact.node.as_str());
         let mut advisers = self.advisers.borrow_mut();
-        let is_new = advisers.meet(&name, now());
+        let is_new = advisers.note_heartbeat(&name, now());
         let mut clients = self.adviser_clients.borrow_mut();
-        clients.retain(|name, _| advisers.knows(name));
+        clients.retain(|name, _| advisers.has_node(name));
         if is_new {
             let client = PeerClient::new(address, contact::peer_options());
             clients.insert(name, Rc::new(client));
@@ -96,7 +96,7 @@
     ) -> Result<Advice, AdviceError> {
         let slack_ms = self.advice_patience.timeout_ms(SLACK_MS);
         let timeout_ms = expected_ms + slack_ms;
-        let Some(name) = self.advisers.borrow_mut().take(length, now()) else {
+        let Some(name) = self.advisers.borrow_mut().acquire(length, now()) else {
             return Err(AdviceError(SmolStr::new_static("no node is free")));
         };
         let client = self.adviser_clients.borrow().get(&name).cloned();
@@ -129,7 +129,7 @@
             self.advice_patience.note(beyond_ms.min(slack_ms));
         }
         let mut advisers = self.advisers.borrow_mut();
-        advisers.give_back(&name, length, advice.is_ok(), now());
+        advisers.release(&name, length, advice.is_ok(), now());
         advice
     }
 
--- a/crates/cell/src/leader/records.rs
+++ b/crates/cell/src/leader/records.rs
@@ -213,7 +213,7 @@
     /// Has the store take something where nothing else is to be written, if jobs wait for that. Says whether it did.
     async fn prove_jobs(self: &Rc<Self>) -> bool {
         let sent_at = now();
-        if !self.scheduler.borrow().wants_proof(sent_at) {
+        if !self.scheduler.borrow().needs_leadership_proof(sent_at) {
             return false;
         }
         let jobs_added = self.scheduler.borrow().jobs_added();
@@ -242,7 +242,7 @@
 
     /// Asks for a proof if jobs wait for one, or soon will.
     pub(crate) fn renew_proof(&self) {
-        if self.scheduler.borrow().wants_proof(now()) {
+        if self.scheduler.borrow().needs_leadership_proof(now()) {
             self.write.notify_one();
         }
     }
@@ -250,8 +250,8 @@
     fn take_proof(&self, jobs_added: u64, sent_at: Millis) {
         self.note_taken(sent_at);
         let mut scheduler = self.scheduler.borrow_mut();
-        let had_waiting = scheduler.wants_proof(now());
-        scheduler.set_proof(jobs_added, sent_at);
+        let had_waiting = scheduler.needs_leadership_proof(now());
+        scheduler.record_leadership_proof(jobs_added, sent_at);
         if had_waiting {
             self.look.notify_one();
         }
@@ -338,7 +338,7 @@
     /// Waits until what is known now is written, or the time for that is over.
     pub(super) async fn write_rest(self: &Rc<Self>) {
         let until = now().plus(LAST_WRITE_MS);
-        while now() < until && self.scheduler.borrow().has_records() {
+        while now() < until && self.scheduler.borrow().has_unrecorded_changes() {
             self.write.notify_one();
             pause(RETRY_MS / 5).await;
         }
--- a/crates/cell/src/leader/vms.rs
+++ b/crates/cell/src/leader/vms.rs
@@ -2,10 +2,10 @@
 
 use std::rc::Rc;
 
-use syc_sched::Duty;
-use syc_sched::DutyAnswer;
 use syc_sched::Event;
 use syc_sched::VmInfo;
+use syc_sched::VmOperation;
+use syc_sched::VmOrderAnswer;
 use syc_sched::Wave;
 use syc_types::Millis;
 use syc_types::VmId;
@@ -91,7 +91,7 @@
         Err(ListError("the list has no end".into()))
     }
 
-    pub(super) fn order_vm(self: &Rc<Self>, vm: VmId, duty: Duty) {
+    pub(super) fn order_vm(self: &Rc<Self>, vm: VmId, duty: VmOperation) {
         let command = VmCommand {
             vm,
             duty,
@@ -114,14 +114,14 @@
             Err(VmOrderError::InDoubt(ANOTHER_MAY_BE_CHOSEN))
         };
         let answer = match &ordered {
-            Ok(()) => DutyAnswer::Done,
+            Ok(()) => VmOrderAnswer::Done,
             Err(VmOrderError::Fenced) => {
                 self.end("fenced_by_platform");
                 return;
             }
-            Err(VmOrderError::Busy) => DutyAnswer::Busy,
-            Err(VmOrderError::Unfit(_)) => DutyAnswer::Unfit,
-            Err(VmOrderError::InDoubt(_)) => DutyAnswer::InDoubt,
+            Err(VmOrderError::Busy) => VmOrderAnswer::Busy,
+            Err(VmOrderError::Unfit(_)) => VmOrderAnswer::Unfit,
+            Err(VmOrderError::InDoubt(_)) => VmOrderAnswer::InDoubt,
         };
         log::vm_ordered(&command, answer, ordered.err().as_ref());
         self.apply(Event::VmOrderAnswered {
--- a/crates/cell/src/log.rs
+++ b/crates/cell/src/log.rs
@@ -8,8 +8,6 @@
 use syc_obs::Line;
 use syc_obs::catalogue;
 use syc_sched::Counts;
-use syc_sched::Duty;
-use syc_sched::DutyAnswer;
 use syc_sched::JobId;
 use syc_sched::JobSpec;
 use syc_sched::JobState;
@@ -20,6 +18,8 @@
 use syc_sched::StopReason;
 use syc_sched::TaskId;
 use syc_sched::VmNote;
+use syc_sched::VmOperation;
+use syc_sched::VmOrderAnswer;
 use syc_types::WorkerId;
 
 use crate::Configuration;
@@ -292,15 +292,15 @@
         .emit();
 }
 
-pub(crate) fn vm_ordered(command: &VmCommand, answer: DutyAnswer, error: Option<&VmOrderError>) {
+pub(crate) fn vm_ordered(command: &VmCommand, answer: VmOrderAnswer, error: Option<&VmOrderError>) {
     let line = Line::new(catalogue::VM_ORDERED)
         .text("vm", command.vm.as_str())
         .text("duty", command.duty.as_str())
         .number("token", command.token)
         .text("answer", answer.as_str());
     let line = match &command.duty {
-        Duty::Upkeep { wave } => line.number("wave", *wave),
-        Duty::Move { pool } => line.text("pool", pool.as_str()),
+        VmOperation::Maintenance { wave } => line.number("wave", *wave),
+        VmOperation::Move { pool } => line.text("pool", pool.as_str()),
     };
     match error {
         Some(error) => line.display("reason", error).emit(),
--- a/crates/cell/src/ports.rs
+++ b/crates/cell/src/ports.rs
@@ -7,12 +7,12 @@
 use bytes::Bytes;
 use smol_str::SmolStr;
 use smol_str::format_smolstr;
-use syc_sched::Duty;
 use syc_sched::Run;
 use syc_sched::StartRefusal;
 use syc_sched::StepId;
 use syc_sched::TaskId;
 use syc_sched::VmInfo;
+use syc_sched::VmOperation;
 use syc_sched::Wave;
 use syc_sched::WorkerReport;
 use syc_sched::WorkerSpec;
@@ -454,7 +454,7 @@
     /// The VM.
     pub vm: VmId,
     /// What to do with it.
-    pub duty: Duty,
+    pub duty: VmOperation,
     /// The node that orders it.
     pub holder: SmolStr,
     /// Fencing token of the scheduler.
--- a/crates/fleet/src/vms.rs
+++ b/crates/fleet/src/vms.rs
@@ -6,8 +6,8 @@
 use smol_str::SmolStr;
 use syc_cell::ports::VmCommand;
 use syc_cell::ports::VmOrderError;
-use syc_sched::Duty;
 use syc_sched::VmInfo;
+use syc_sched::VmOperation;
 use syc_sched::VmState;
 use syc_sched::Wave;
 use syc_types::Millis;
@@ -178,14 +178,14 @@
         }
         vm.token = command.token;
         let is_done = match &command.duty {
-            Duty::Upkeep { wave } => {
+            VmOperation::Maintenance { wave } => {
                 let of_wave = self.waves.get(wave);
                 if !of_wave.is_some_and(|of_wave| of_wave.vms.contains(&command.vm)) {
                     return Err(unfit("not of that wave"));
                 }
                 vm.upkeeps.contains(wave)
             }
-            Duty::Move { pool } => vm.pool == *pool,
+            VmOperation::Move { pool } => vm.pool == *pool,
         };
         if is_done {
             return Ok(());
@@ -194,8 +194,8 @@
             return Err(VmOrderError::Busy);
         }
         match &command.duty {
-            Duty::Upkeep { wave } => self.begin_upkeep(&command.vm, *wave),
-            Duty::Move { pool } => {
+            VmOperation::Maintenance { wave } => self.begin_upkeep(&command.vm, *wave),
+            VmOperation::Move { pool } => {
                 vm.state = VmState::Moving;
                 vm.pool = pool.clone();
             }
@@ -220,7 +220,7 @@
             self.faults.push(Fault::TooManyDown(wave));
         }
         if let Some(vm) = self.vms.get_mut(id) {
-            vm.state = VmState::Upkeep;
+            vm.state = VmState::Maintenance;
             vm.wave = Some(wave);
             vm.upkeeps.insert(wave);
         }
@@ -230,7 +230,7 @@
     pub fn advance(&mut self, now: Millis) -> Vec<(VmId, ServiceName)> {
         let mut back = Vec::new();
         for (id, vm) in &mut self.vms {
-            let is_away = matches!(vm.state, VmState::Upkeep | VmState::Moving);
+            let is_away = matches!(vm.state, VmState::Maintenance | VmState::Moving);
             if is_away && vm.back_at <= now {
                 vm.state = VmState::Up;
                 vm.wave = None;
--- a/crates/sched/src/action.rs
+++ b/crates/sched/src/action.rs
@@ -4,12 +4,12 @@
 use syc_types::Millis;
 use syc_types::VmId;
 
-use crate::Duty;
 use crate::JobId;
 use crate::Note;
 use crate::Run;
 use crate::StepId;
 use crate::TaskId;
+use crate::VmOperation;
 use crate::WorkerKey;
 use crate::WorkerSpec;
 
@@ -94,7 +94,7 @@
         /// The VM.
         vm: VmId,
         /// What to do.
-        duty: Duty,
+        duty: VmOperation,
     },
     /// Tell the operators how far a wave is.
     TellWave {
--- a/crates/sched/src/advice.rs
+++ b/crates/sched/src/advice.rs
@@ -18,34 +18,39 @@
 use crate::worker::fits;
 
 /// Most workers that one call may name.
-const CALL_WORKERS_LIMIT: usize = 100;
+const MAX_WORKERS_PER_CALL: usize = 100;
 
 /// Most calls about one step at a time. One after the other, the tickets of the first calls about a wide gang are too
 /// old when the last has its answer, and are asked for again.
-const CALLS_AT_ONCE: usize = 4;
+const MAX_CALLS_PER_STEP: usize = 4;
 
 /// A step takes a second call, and each further one, only where so many times as many can be made: the others' calls
 /// must not wait for those of one wide gang.
-const SPARED_SLOTS: u32 = 4;
+const SLOTS_PER_CALL: u32 = 4;
 
 /// Share of workers that is taken to be allowed before a queue has shown its own.
-const FIRST_SHARE: f64 = 0.4;
+const DEFAULT_ALLOWED_SHARE: f64 = 0.4;
 
 /// Answers that the learned share of a queue looks back on, in workers asked about.
-const SHARE_MEMORY: f64 = 400.0;
+const ALLOWED_SHARE_WINDOW: f64 = 400.0;
 
 /// Asked about beyond what is just enough on average.
-const SPARE_FACTOR: f64 = 1.6;
+const OVERSAMPLING_FACTOR: f64 = 1.6;
 
 /// Wait after a call that failed.
-const RETRY_MS: u64 = 40;
+const RETRY_DELAY_MS: u64 = 40;
 
 impl Scheduler {
     /// Returns the workers that may run a step now: each has a valid ticket, or none is needed.
-    pub(crate) fn allowed_now(&self, job: JobKey, step: usize, now: Millis) -> Vec<WorkerKey> {
+    pub(crate) fn currently_allowed_workers(
+        &self,
+        job: JobKey,
+        step: usize,
+        now: Millis,
+    ) -> Vec<WorkerKey> {
         let job = &self.jobs[job];
         if job.spec.policy.advice.is_none() {
-            return self.eligible(job.steps[step].spec.required_label.as_ref(), job, now);
+            return self.eligible_workers(job.steps[step].spec.required_label.as_ref(), job, now);
         }
         let valid_from = now.plus(self.options.ticket_margin_ms);
         let tickets = &job.steps[step].advice.tickets;
@@ -66,7 +71,7 @@
     }
 
     /// Returns the usable workers of a job's service that have the label.
-    pub(crate) fn eligible(
+    pub(crate) fn eligible_workers(
         &self,
         label: Option<&smol_str::SmolStr>,
         job: &crate::job::Job,
@@ -88,101 +93,102 @@
     }
 
     /// Asks about a step of single tasks if a call can bring a start nearer.
-    pub(crate) fn ask_for_tasks(&mut self, job: JobKey, step: usize, now: Millis) {
-        let Some(policy) = self.advice_due(job, step, now) else {
+    pub(crate) fn request_task_advice(&mut self, job: JobKey, step: usize, now: Millis) {
+        let Some(policy) = self.advice_policy_if_due(job, step, now) else {
             return;
         };
-        let of_job = &self.jobs[job];
-        let of_step = &of_job.steps[step];
-        let need = of_step.spec.room();
-        let wanted = of_step.pending;
-        let first = of_step.advice.calls == 0;
+        let job_state = &self.jobs[job];
+        let step_state = &job_state.steps[step];
+        let required = step_state.spec.room();
+        let wanted = step_state.pending;
+        let first = step_state.advice.calls == 0;
         let mut known = Vec::new();
         let mut unknown = Vec::new();
-        for key in self.eligible(of_step.spec.required_label.as_ref(), of_job, now) {
-            let advice = &of_step.advice;
+        for key in self.eligible_workers(step_state.spec.required_label.as_ref(), job_state, now) {
+            let advice = &step_state.advice;
             if advice.denied.contains(&key) {
                 continue;
             }
-            let room = fits(&self.workers[key].room(), &need, wanted);
-            if room == 0 && !first {
+            let fitting = fits(&self.workers[key].room(), &required, wanted);
+            if fitting == 0 && !first {
                 continue;
             }
             match advice.tickets.get(&key) {
                 Some(ticket) if ticket.valid_until > now.plus(self.options.ticket_margin_ms) => {}
-                Some(_expired) => known.push((room, key)),
-                None => unknown.push((room, key)),
+                Some(_expired) => known.push((fitting, key)),
+                None => unknown.push((fitting, key)),
             }
         }
         let picked = if known.is_empty() {
-            let count = self.first_call_size(job, step, &unknown);
-            most_room(unknown, count, self.step_id(job, step))
+            let count = self.estimate_call_size(job, step, &unknown);
+            largest_capacity(unknown, count, self.step_id(job, step))
         } else {
             let wanted = usize::try_from(wanted).unwrap_or(usize::MAX);
-            most_room(known, wanted.saturating_add(1), self.step_id(job, step))
+            largest_capacity(known, wanted.saturating_add(1), self.step_id(job, step))
         };
-        let one_call = picked.len().min(CALL_WORKERS_LIMIT);
-        self.ask(job, step, policy, &picked[..one_call], now);
+        let one_call = picked.len().min(MAX_WORKERS_PER_CALL);
+        self.request_advice(job, step, policy, &picked[..one_call], now);
     }
 
     /// Asks about all workers that a gang could use, for the first time or beyond those known.
-    pub(crate) fn ask_for_gang(&mut self, job: JobKey, step: usize, now: Millis) {
-        let Some(policy) = self.advice_due(job, step, now) else {
+    pub(crate) fn request_gang_advice(&mut self, job: JobKey, step: usize, now: Millis) {
+        let Some(policy) = self.advice_policy_if_due(job, step, now) else {
             return;
         };
-        let of_job = &self.jobs[job];
-        let of_step = &of_job.steps[step];
+        let job_state = &self.jobs[job];
+        let step_state = &job_state.steps[step];
         let mut unknown = Vec::new();
-        for key in self.eligible(of_step.spec.required_label.as_ref(), of_job, now) {
-            let advice = &of_step.advice;
+        for key in self.eligible_workers(step_state.spec.required_label.as_ref(), job_state, now) {
+            let advice = &step_state.advice;
             if advice.denied.contains(&key) || advice.tickets.contains_key(&key) {
                 continue;
             }
-            let limit = of_step.spec.tasks;
-            let room = fits(&self.workers[key].room(), &of_step.spec.room(), limit);
-            unknown.push((room, key));
+            let limit = step_state.spec.tasks;
+            let fitting = fits(&self.workers[key].room(), &step_state.spec.room(), limit);
+            unknown.push((fitting, key));
         }
-        let count = self.first_call_size(job, step, &unknown);
+        let count = self.estimate_call_size(job, step, &unknown);
         let count = count
             .max(self.options.gang_advice_workers)
-            .min(CALL_WORKERS_LIMIT)
-            .max(self.width_to_ask(job, step));
-        let picked = most_room(unknown, count, self.step_id(job, step));
-        self.ask(job, step, policy, &picked, now);
+            .min(MAX_WORKERS_PER_CALL)
+            .max(self.gang_call_size(job, step));
+        let picked = largest_capacity(unknown, count, self.step_id(job, step));
+        self.request_advice(job, step, policy, &picked, now);
     }
 
     /// Returns how many workers to ask about so that those allowed could hold a gang, were they empty.
-    fn width_to_ask(&self, job: JobKey, step: usize) -> usize {
-        let of_job = &self.jobs[job];
-        let spec = &of_job.steps[step].spec;
+    fn gang_call_size(&self, job: JobKey, step: usize) -> usize {
+        let job_state = &self.jobs[job];
+        let spec = &job_state.steps[step].spec;
         let limit = spec.limit_on_a_worker();
         let mut workers: u32 = 0;
-        let mut held: u32 = 0;
+        let mut total_fitting: u32 = 0;
         for worker in self.workers.values() {
             workers += 1;
-            held = held.saturating_add(fits(&worker.spec.capacity, &spec.room(), limit));
+            total_fitting =
+                total_fitting.saturating_add(fits(&worker.spec.capacity, &spec.room(), limit));
         }
-        let each = f64::from(held) / f64::from(workers.max(1));
-        let share = self.allowed_share(&of_job.spec.policy.queue);
+        let each = f64::from(total_fitting) / f64::from(workers.max(1));
+        let share = self.allowed_share(&job_state.spec.policy.queue);
         let wanted = f64::from(spec.tasks) * f64::from(CHOICE) / each.max(0.5) / share;
-        whole_workers(wanted)
+        worker_count(wanted)
     }
 
     /// Asks again about workers whose tickets are too old.
-    pub(crate) fn ask_again(
+    pub(crate) fn renew_tickets(
         &mut self,
         job: JobKey,
         step: usize,
         workers: &[WorkerKey],
         now: Millis,
     ) {
-        let Some(policy) = self.advice_due(job, step, now) else {
+        let Some(policy) = self.advice_policy_if_due(job, step, now) else {
             return;
         };
-        self.ask(job, step, policy, workers, now);
+        self.request_advice(job, step, policy, workers, now);
     }
 
-    fn advice_due(&self, job: JobKey, step: usize, now: Millis) -> Option<AdvicePolicy> {
+    fn advice_policy_if_due(&self, job: JobKey, step: usize, now: Millis) -> Option<AdvicePolicy> {
         let job = &self.jobs[job];
         let advice = &job.steps[step].advice;
         if advice.asked_at.is_some() || now < advice.not_before {
@@ -191,11 +197,11 @@
         // Whom to ask is worked out only where the shortest call can be made: a look that did so for each
         // waiting step would hold up the scheduler's own answers where many wait.
         let policy = job.spec.policy.advice?;
-        self.has_slot(policy.call_ms(1)).then_some(policy)
+        self.has_free_slot(policy.call_ms(1)).then_some(policy)
     }
 
     /// Says whether a place is free for a call.
-    fn has_slot(&self, expected_ms: f64) -> bool {
+    fn has_free_slot(&self, expected_ms: f64) -> bool {
         let slots = &self.advice_slots;
         match self.options.length_of_call(expected_ms) {
             CallLength::Short => slots.short > 0 || slots.long > 0,
@@ -204,27 +210,27 @@
     }
 
     /// Works out how many workers to name so that enough of them are likely to be allowed.
-    fn first_call_size(&self, job: JobKey, step: usize, unknown: &[(u32, WorkerKey)]) -> usize {
+    fn estimate_call_size(&self, job: JobKey, step: usize, unknown: &[(u32, WorkerKey)]) -> usize {
         let job = &self.jobs[job];
-        let of_step = &job.steps[step];
-        let tasks = of_step.pending.saturating_mul(of_step.members());
-        let room: u32 = unknown.iter().map(|(room, _)| *room).sum();
+        let step_state = &job.steps[step];
+        let tasks = step_state.pending.saturating_mul(step_state.members());
+        let fitting: u32 = unknown.iter().map(|(fitting, _)| *fitting).sum();
         let workers = u32::try_from(unknown.len()).unwrap_or(u32::MAX).max(1);
-        let per_worker = (f64::from(room) / f64::from(workers)).max(0.5);
+        let per_worker = (f64::from(fitting) / f64::from(workers)).max(0.5);
         let share = self.allowed_share(&job.spec.policy.queue);
-        let wanted = f64::from(tasks) / per_worker / share * SPARE_FACTOR;
-        whole_workers(wanted).max(self.options.task_advice_workers)
+        let wanted = f64::from(tasks) / per_worker / share * OVERSAMPLING_FACTOR;
+        worker_count(wanted).max(self.options.task_advice_workers)
     }
 
     fn allowed_share(&self, queue: &str) -> f64 {
         let stats = self.queues.get(queue).copied().unwrap_or_default();
         if stats.asked < 20.0 {
-            return FIRST_SHARE;
+            return DEFAULT_ALLOWED_SHARE;
         }
         (stats.allowed / stats.asked).clamp(0.05, 1.0)
     }
 
-    fn ask(
+    fn request_advice(
         &mut self,
         job: JobKey,
         step: usize,
@@ -233,10 +239,10 @@
         now: Millis,
     ) {
         let id = self.step_id(job, step);
-        let slots = self.advice_slots.long / SPARED_SLOTS;
-        let calls = usize::try_from(slots).unwrap_or(CALLS_AT_ONCE);
-        let calls = calls.clamp(1, CALLS_AT_ONCE);
-        for part in workers.chunks(CALL_WORKERS_LIMIT).take(calls) {
+        let slots = self.advice_slots.long / SLOTS_PER_CALL;
+        let calls = usize::try_from(slots).unwrap_or(MAX_CALLS_PER_STEP);
+        let calls = calls.clamp(1, MAX_CALLS_PER_STEP);
+        for part in workers.chunks(MAX_WORKERS_PER_CALL).take(calls) {
             let expected_ms = policy.call_ms(part.len());
             if !self.take_slot(expected_ms) {
                 return;
@@ -269,7 +275,7 @@
         self.jobs[job].step_id(step)
     }
 
-    pub(crate) fn advised(
+    pub(crate) fn advice_answered(
         &mut self,
         step: StepId,
         asked: &[WorkerKey],
@@ -284,8 +290,8 @@
         let Some(index) = job.index_of(step) else {
             return;
         };
-        let of_step = &mut job.steps[index];
-        let advice = &mut of_step.advice;
+        let step_state = &mut job.steps[index];
+        let advice = &mut step_state.advice;
         advice.under_way = advice.under_way.saturating_sub(1);
         if advice.under_way == 0 {
             advice.asked_at = None;
@@ -295,7 +301,7 @@
             validity_ms,
         } = answer
         else {
-            advice.not_before = now.plus(RETRY_MS);
+            advice.not_before = now.plus(RETRY_DELAY_MS);
             return;
         };
         let stats = self.queues.entry(queue).or_default();
@@ -314,8 +320,8 @@
     }
 
     /// Forgets a ticket that a worker refused.
-    pub(crate) fn drop_ticket(&mut self, worker: WorkerKey, task: TaskId, now: Millis) {
-        let Some((job, step, _unit, _member)) = self.locate(task) else {
+    pub(crate) fn expire_ticket(&mut self, worker: WorkerKey, task: TaskId, now: Millis) {
+        let Some((job, step, _unit, _member)) = self.locate_task(task) else {
             return;
         };
         let advice = &mut self.jobs[job].steps[step].advice;
@@ -325,14 +331,14 @@
     }
 
     /// Gives up calls for advice that were not answered.
-    pub(crate) fn give_up_advice(&mut self, now: Millis) {
+    pub(crate) fn time_out_advice_calls(&mut self, now: Millis) {
         let slack_ms = self.options.advice_slack_ms;
-        for key in &self.open {
+        for key in &self.open_jobs {
             let job = &mut self.jobs[*key];
             let Some(policy) = job.spec.policy.advice else {
                 continue;
             };
-            let call_ms = policy.call_ms(CALL_WORKERS_LIMIT).clamp(0.0, 60_000.0);
+            let call_ms = policy.call_ms(MAX_WORKERS_PER_CALL).clamp(0.0, 60_000.0);
             let call_ms = std::time::Duration::from_millis(1).mul_f64(call_ms);
             let call_ms = u64::try_from(call_ms.as_millis()).unwrap_or(u64::MAX);
             let bound_ms = call_ms.saturating_mul(3).saturating_add(slack_ms);
@@ -352,7 +358,7 @@
         let to_f64 = |count: usize| f64::from(u32::try_from(count).unwrap_or(u32::MAX));
         self.asked += to_f64(asked);
         self.allowed += to_f64(allowed);
-        if self.asked > SHARE_MEMORY {
+        if self.asked > ALLOWED_SHARE_WINDOW {
             self.asked /= 2.0;
             self.allowed /= 2.0;
         }
@@ -360,21 +366,25 @@
 }
 
 /// Returns how many whole workers a wanted number is, within what makes sense.
-fn whole_workers(wanted: f64) -> usize {
+fn worker_count(wanted: f64) -> usize {
     let whole = std::time::Duration::from_secs_f64(wanted.clamp(0.0, 1_000.0)).as_secs();
-    usize::try_from(whole).unwrap_or(CALL_WORKERS_LIMIT)
+    usize::try_from(whole).unwrap_or(MAX_WORKERS_PER_CALL)
 }
 
 /// Picks the workers with the most room; among equals, others for each step.
-fn most_room(mut workers: Vec<(u32, WorkerKey)>, count: usize, step: StepId) -> Vec<WorkerKey> {
-    let order = |key: &WorkerKey| mix(key.data().as_ffi() ^ step.job.0);
+fn largest_capacity(
+    mut workers: Vec<(u32, WorkerKey)>,
+    count: usize,
+    step: StepId,
+) -> Vec<WorkerKey> {
+    let order = |key: &WorkerKey| splitmix64(key.data().as_ffi() ^ step.job.0);
     workers.sort_by(|a, b| b.0.cmp(&a.0).then_with(|| order(&a.1).cmp(&order(&b.1))));
     workers.truncate(count);
     workers.into_iter().map(|(_, key)| key).collect()
 }
 
 /// Spreads numbers evenly (the finalizer of splitmix64).
-const fn mix(number: u64) -> u64 {
+const fn splitmix64(number: u64) -> u64 {
     let number = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let number = (number ^ (number >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     number ^ (number >> 31)
--- a/crates/sched/src/advisers.rs
+++ b/crates/sched/src/advice_nodes.rs
@@ -10,19 +10,19 @@
 use syc_types::Millis;
 
 /// A node that was not heard of for this long is not asked: heartbeats come several times a second.
-const HEARD_MS: u64 = 1_200;
+const HEARTBEAT_TIMEOUT_MS: u64 = 1_200;
 
 /// A node that was not heard of for this long is forgotten.
-const FORGET_MS: u64 = 10_000;
+const FORGET_AFTER_MS: u64 = 10_000;
 
 /// A node that failed to answer is not asked again for this long.
-const REST_MS: u64 = 1_500;
+const BACKOFF_MS: u64 = 1_500;
 
 /// Short calls that a node has under way at once: the next is at the service when one is served.
-const SHORT_CALLS: u32 = 2;
+const MAX_SHORT_CALLS: u32 = 2;
 
 /// One node in so many makes short calls only, so that they never wait for a long one.
-const SHORT_ONLY_SHARE: usize = 4;
+const NODES_PER_SHORT_ONLY: usize = 4;
 
 /// How long a call for advice is served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -55,37 +55,37 @@
 
 /// A node that calls for advice.
 #[derive(Debug, Clone, Copy)]
-struct Adviser {
+struct AdviceNode {
     /// Whether it is the scheduler's own node, which is always there.
-    own: bool,
-    heard_at: Millis,
-    rests_until: Millis,
+    is_local: bool,
+    last_heard_at: Millis,
+    backoff_until: Millis,
     /// Calls under way.
     short: u32,
     long: u32,
 }
 
-impl Adviser {
-    const fn new(own: bool, now: Millis) -> Self {
+impl AdviceNode {
+    const fn new(is_local: bool, now: Millis) -> Self {
         Self {
-            own,
-            heard_at: now,
-            rests_until: Millis(0),
+            is_local,
+            last_heard_at: now,
+            backoff_until: Millis(0),
             short: 0,
             long: 0,
         }
     }
 
     fn is_available(&self, now: Millis) -> bool {
-        let heard = self.own || now.since(self.heard_at) < HEARD_MS;
-        heard && self.rests_until <= now
+        let heard = self.is_local || now.since(self.last_heard_at) < HEARTBEAT_TIMEOUT_MS;
+        heard && self.backoff_until <= now
     }
 
     const fn short_slots(&self) -> u32 {
         if self.long > 0 {
             return 0;
         }
-        SHORT_CALLS.saturating_sub(self.short)
+        MAX_SHORT_CALLS.saturating_sub(self.short)
     }
 
     const fn long_slots(&self) -> u32 {
@@ -99,7 +99,7 @@
         }
     }
 
-    const fn under_way(&mut self, length: CallLength) -> &mut u32 {
+    const fn in_flight(&mut self, length: CallLength) -> &mut u32 {
         match length {
             CallLength::Short => &mut self.short,
             CallLength::Long => &mut self.long,
@@ -109,42 +109,45 @@
 
 /// The nodes that call for advice, by name.
 #[derive(Debug, Clone, Default)]
-pub struct Advisers {
-    nodes: BTreeMap<SmolStr, Adviser>,
+pub struct AdviceNodes {
+    nodes: BTreeMap<SmolStr, AdviceNode>,
 }
 
-impl Advisers {
+impl AdviceNodes {
     /// Makes a list with the scheduler's own node only.
     #[must_use]
-    pub fn with_own(node: SmolStr, now: Millis) -> Self {
+    pub fn with_local(node: SmolStr, now: Millis) -> Self {
         Self {
-            nodes: BTreeMap::from([(node, Adviser::new(true, now))]),
+            nodes: BTreeMap::from([(node, AdviceNode::new(true, now))]),
         }
     }
 
     /// Takes note that another node is there. Returns whether it was not known.
-    pub fn meet(&mut self, node: &SmolStr, now: Millis) -> bool {
-        self.nodes
-            .retain(|_, adviser| adviser.own || now.since(adviser.heard_at) < FORGET_MS);
-        if let Some(adviser) = self.nodes.get_mut(node) {
-            adviser.heard_at = now;
+    pub fn note_heartbeat(&mut self, node: &SmolStr, now: Millis) -> bool {
+        self.nodes.retain(|_, node_state| {
+            node_state.is_local || now.since(node_state.last_heard_at) < FORGET_AFTER_MS
+        });
+        if let Some(node_state) = self.nodes.get_mut(node) {
+            node_state.last_heard_at = now;
             return false;
         }
-        self.nodes.insert(node.clone(), Adviser::new(false, now));
+        self.nodes.insert(node.clone(), AdviceNode::new(false, now));
         true
     }
 
     /// Says whether a node is known.
     #[must_use]
-    pub fn knows(&self, node: &str) -> bool {
+    pub fn has_node(&self, node: &str) -> bool {
         self.nodes.contains_key(node)
     }
 
     /// Counts the nodes, without the scheduler's own, that come before one in the order of names.
     #[must_use]
-    pub fn others_before(&self, node: &str) -> u32 {
+    pub fn remote_nodes_before(&self, node: &str) -> u32 {
         let before = self.nodes.iter().take_while(|(name, _)| *name != node);
-        let others = before.filter(|(_, adviser)| !adviser.own).count();
+        let others = before
+            .filter(|(_, node_state)| !node_state.is_local)
+            .count();
         u32::try_from(others).unwrap_or(u32::MAX)
     }
 
@@ -153,21 +156,21 @@
     pub fn slots(&self, now: Millis) -> AdviceSlots {
         let short_only = self.short_only_count(now);
         let mut slots = AdviceSlots { short: 0, long: 0 };
-        for (index, (_, adviser)) in self.available(now).enumerate() {
-            slots.short += adviser.short_slots();
+        for (index, (_, node_state)) in self.available(now).enumerate() {
+            slots.short += node_state.short_slots();
             if index >= short_only {
-                slots.long += adviser.long_slots();
+                slots.long += node_state.long_slots();
             }
         }
         slots
     }
 
     /// Picks the node with the fewest calls under way, and counts the call as given to it.
-    pub fn take(&mut self, length: CallLength, now: Millis) -> Option<SmolStr> {
+    pub fn acquire(&mut self, length: CallLength, now: Millis) -> Option<SmolStr> {
         let short_only = self.short_only_count(now);
         let mut best: Option<(u32, SmolStr)> = None;
-        for (index, (name, adviser)) in self.available(now).enumerate() {
-            let slots = adviser.slots(length);
+        for (index, (name, node_state)) in self.available(now).enumerate() {
+            let slots = node_state.slots(length);
             if slots == 0 || (length == CallLength::Long && index < short_only) {
                 continue;
             }
@@ -176,26 +179,26 @@
             }
         }
         let (_, name) = best?;
-        let adviser = self.nodes.get_mut(&name)?;
-        *adviser.under_way(length) += 1;
+        let node_state = self.nodes.get_mut(&name)?;
+        *node_state.in_flight(length) += 1;
         Some(name)
     }
 
     /// Takes note that a node's call is over.
-    pub fn give_back(&mut self, node: &str, length: CallLength, answered: bool, now: Millis) {
-        let Some(adviser) = self.nodes.get_mut(node) else {
+    pub fn release(&mut self, node: &str, length: CallLength, answered: bool, now: Millis) {
+        let Some(node_state) = self.nodes.get_mut(node) else {
             return;
         };
-        let under_way = adviser.under_way(length);
-        *under_way = under_way.saturating_sub(1);
+        let in_flight = node_state.in_flight(length);
+        *in_flight = in_flight.saturating_sub(1);
         if !answered {
-            adviser.rests_until = now.plus(REST_MS);
+            node_state.backoff_until = now.plus(BACKOFF_MS);
         }
     }
 
-    fn available(&self, now: Millis) -> impl Iterator<Item = (&SmolStr, &Adviser)> {
+    fn available(&self, now: Millis) -> impl Iterator<Item = (&SmolStr, &AdviceNode)> {
         let nodes = self.nodes.iter();
-        nodes.filter(move |(_, adviser)| adviser.is_available(now))
+        nodes.filter(move |(_, node_state)| node_state.is_available(now))
     }
 
     /// Returns how many of the available nodes, the first in the order of names, make short calls only.
@@ -204,6 +207,6 @@
         if count < 2 {
             return 0;
         }
-        (count / SHORT_ONLY_SHARE).max(1)
+        (count / NODES_PER_SHORT_ONLY).max(1)
     }
 }
--- a/crates/sched/src/authority.rs
+++ b/crates/sched/src/authority.rs
@@ -16,15 +16,15 @@
 use syc_types::Millis;
 
 /// A node that told nothing for this long before the store last answered is not one of those that were in touch.
-const IN_TOUCH_MS: u64 = 10_000;
+const FOLLOWER_TIMEOUT_MS: u64 = 10_000;
 
 /// The evidence that a scheduler has no successor.
 #[derive(Debug, Clone)]
 pub struct Authority {
     /// Time for which a piece of evidence lasts.
-    lasts_ms: u64,
+    validity_ms: u64,
     /// When the latest append was sent that the store took.
-    taken_sent_at: Option<Millis>,
+    last_append_sent_at: Option<Millis>,
     /// The latest answer of this node that each other one had.
     followers: BTreeMap<SmolStr, Millis>,
 }
@@ -32,54 +32,55 @@
 impl Authority {
     /// Begins without any evidence; each piece of it lasts for so long.
     #[must_use]
-    pub const fn new(lasts_ms: u64) -> Self {
+    pub const fn new(validity_ms: u64) -> Self {
         Self {
-            lasts_ms,
-            taken_sent_at: None,
+            validity_ms,
+            last_append_sent_at: None,
             followers: BTreeMap::new(),
         }
     }
 
     /// Takes note that the store took an append under the fencing token that was sent at a time.
-    pub fn note_taken(&mut self, sent_at: Millis) {
-        self.taken_sent_at = self.taken_sent_at.max(Some(sent_at));
+    pub fn note_append(&mut self, sent_at: Millis) {
+        self.last_append_sent_at = self.last_append_sent_at.max(Some(sent_at));
         self.followers
-            .retain(|_, told_at| sent_at.since(*told_at) < IN_TOUCH_MS);
+            .retain(|_, acked_at| sent_at.since(*acked_at) < FOLLOWER_TIMEOUT_MS);
     }
 
     /// Takes note that another node follows this scheduler and had an answer of it that was sent at a time.
     pub fn note_follower(&mut self, node: &SmolStr, answered_at: Millis) {
-        let told_at = self.followers.entry(node.clone()).or_default();
-        *told_at = (*told_at).max(answered_at);
+        let acked_at = self.followers.entry(node.clone()).or_default();
+        *acked_at = (*acked_at).max(answered_at);
     }
 
     /// Returns when the latest evidence was sent for.
-    fn shown_at(&self) -> Option<Millis> {
-        let mut told_at: Vec<_> = self.followers.values().copied().collect();
-        told_at.sort_unstable();
+    fn evidence_at(&self) -> Option<Millis> {
+        let mut acked_at: Vec<_> = self.followers.values().copied().collect();
+        acked_at.sort_unstable();
         // The later half has told at that time or since.
-        let by_half = told_at.get(told_at.len() / 2).copied();
-        let by_half = by_half.filter(|at| *at > Millis(0));
-        self.taken_sent_at.max(by_half)
+        let half_acked_at = acked_at.get(acked_at.len() / 2).copied();
+        let half_acked_at = half_acked_at.filter(|at| *at > Millis(0));
+        self.last_append_sent_at.max(half_acked_at)
     }
 
     /// Returns when the evidence gets too old for any order; none where there is none yet.
     #[must_use]
-    pub fn ends_at(&self) -> Option<Millis> {
-        Some(self.shown_at()?.plus(self.lasts_ms))
+    pub fn expires_at(&self) -> Option<Millis> {
+        Some(self.evidence_at()?.plus(self.validity_ms))
     }
 
     /// Says whether there was evidence, which is too old now.
     #[must_use]
-    pub fn is_over(&self, now: Millis) -> bool {
-        self.ends_at().is_some_and(|ends_at| ends_at <= now)
+    pub fn is_expired(&self, now: Millis) -> bool {
+        self.expires_at()
+            .is_some_and(|expires_at| expires_at <= now)
     }
 
     /// Returns the time from which a lease counts that was decided on at a time; none where the evidence is missing or
     /// too old.
     #[must_use]
-    pub fn lease_from(&self, decided_at: Millis, now: Millis) -> Option<Millis> {
-        let ends_at = self.ends_at().filter(|ends_at| now < *ends_at)?;
-        Some(decided_at.min(ends_at))
+    pub fn lease_start(&self, decided_at: Millis, now: Millis) -> Option<Millis> {
+        let expires_at = self.expires_at().filter(|expires_at| now < *expires_at)?;
+        Some(decided_at.min(expires_at))
     }
 }
--- a/crates/sched/src/counts.rs
+++ b/crates/sched/src/counts.rs
@@ -57,11 +57,11 @@
     #[must_use]
     pub fn counts(&self, now: Millis) -> Counts {
         let mut counts = Counts {
-            open_jobs: self.open.len(),
+            open_jobs: self.open_jobs.len(),
             workers: self.workers.len(),
             ..Counts::default()
         };
-        for key in &self.open {
+        for key in &self.open_jobs {
             for (index, step) in self.jobs[*key].steps.iter().enumerate() {
                 if step.pending > 0 && self.jobs[*key].is_ready(index, now) {
                     counts.waiting_tasks += u64::from(step.pending * step.members());
--- a/crates/sched/src/event.rs
+++ b/crates/sched/src/event.rs
@@ -6,8 +6,6 @@
 use syc_types::VmId;
 use syc_types::WorkerId;
 
-use crate::Duty;
-use crate::DutyAnswer;
 use crate::JobId;
 use crate::JobSpec;
 use crate::Run;
@@ -15,6 +13,8 @@
 use crate::StepId;
 use crate::TaskId;
 use crate::VmInfo;
+use crate::VmOperation;
+use crate::VmOrderAnswer;
 use crate::Wave;
 use crate::WorkerKey;
 use crate::WorkerReport;
@@ -166,9 +166,9 @@
         /// The VM.
         vm: VmId,
         /// What was ordered.
-        duty: Duty,
+        duty: VmOperation,
         /// What it came to.
-        answer: DutyAnswer,
+        answer: VmOrderAnswer,
     },
     /// The store has taken the progress of jobs.
     Recorded {
--- a/crates/sched/src/gang.rs
+++ b/crates/sched/src/gang.rs
@@ -42,14 +42,14 @@
         }
         let needs_advice = self.jobs[job].spec.policy.advice.is_some();
         if needs_advice && self.jobs[job].steps[step].advice.calls == 0 {
-            self.ask_for_gang(job, step, now);
+            self.request_gang_advice(job, step, now);
             return;
         }
         let candidates = self.gang_candidates(job, step, now);
         let Some(plan) = self.plan_gang(job, step, &candidates) else {
             // More room comes as runs end; more workers are asked about only where it can't be enough.
             if !self.could_hold_gang(job, step, &candidates) {
-                self.ask_for_gang(job, step, now);
+                self.request_gang_advice(job, step, now);
             }
             return;
         };
@@ -83,7 +83,7 @@
         if !stale.is_empty() || (!has_room && !self.is_fresh(job, step, &reservation.workers, now))
         {
             let workers: Vec<_> = reservation.workers.iter().map(|(key, _)| *key).collect();
-            self.ask_again(job, step, &workers, now);
+            self.renew_tickets(job, step, &workers, now);
         }
         if has_room && stale.is_empty() {
             let unit = 0;
@@ -127,7 +127,8 @@
     fn gang_candidates(&self, job: JobKey, step: usize, now: Millis) -> Vec<WorkerKey> {
         let of_job = &self.jobs[job];
         let of_step = &of_job.steps[step];
-        let mut candidates = self.eligible(of_step.spec.required_label.as_ref(), of_job, now);
+        let mut candidates =
+            self.eligible_workers(of_step.spec.required_label.as_ref(), of_job, now);
         if of_job.spec.policy.advice.is_some() {
             candidates.retain(|key| of_step.advice.tickets.contains_key(key));
         }
--- a/crates/sched/src/keeping.rs
+++ b/crates/sched/src/keeping.rs
@@ -87,7 +87,7 @@
             schedule: Schedule::default(),
             accepted_at_ms: TimeOfDay::default(),
         };
-        let mut job = Job::new(spec, now, self.day);
+        let mut job = Job::new(spec, now, self.wall_clock);
         job.state = ended.state;
         job.shown = ended.state;
         job.ended_at = Some(self.cell_clock.steady_at(shown_at, now));
@@ -98,7 +98,7 @@
 
     /// Removes what is kept of jobs that ended long ago.
     pub(crate) fn forget_old(&mut self, now: Millis) {
-        let keep_ms = self.options.status_ms;
+        let keep_ms = self.options.ended_job_retention_ms;
         let cell_now = self.cell_clock.read(now);
         let mut old = Vec::new();
         for (key, job) in &self.jobs {
@@ -116,7 +116,7 @@
             self.job_keys.remove(&job.id());
             self.actions.push(Action::Forget(job.id()));
         }
-        self.cancelled_early
+        self.early_cancellations
             .retain(|_, at| now.since(*at) <= keep_ms);
     }
 }
--- a/crates/sched/src/proof.rs
+++ b/crates/sched/src/leadership_proof.rs
@@ -12,16 +12,16 @@
 
 /// What the store took of this scheduler last.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Proof {
+pub(crate) struct LeadershipProof {
     /// Jobs that had been added when it was sent.
     jobs_added: u64,
     /// When it was sent; none before the first.
     sent_at: Option<Millis>,
 }
 
-impl Proof {
+impl LeadershipProof {
     /// Stands for one that never gets old.
-    pub(crate) const ETERNAL: Self = Self {
+    pub(crate) const NOT_REQUIRED: Self = Self {
         jobs_added: u64::MAX,
         sent_at: None,
     };
@@ -35,16 +35,16 @@
     }
 
     /// Has jobs be started by proofs only. Without a call, all may be started at any time.
-    pub const fn require_proof(&mut self) {
-        self.proof = Proof {
+    pub const fn require_leadership_proof(&mut self) {
+        self.leadership_proof = LeadershipProof {
             jobs_added: 0,
             sent_at: None,
         };
     }
 
     /// Takes note that the store took something that was sent at that time, when so many jobs had been added.
-    pub const fn set_proof(&mut self, jobs_added: u64, sent_at: Millis) {
-        self.proof = Proof {
+    pub const fn record_leadership_proof(&mut self, jobs_added: u64, sent_at: Millis) {
+        self.leadership_proof = LeadershipProof {
             jobs_added,
             sent_at: Some(sent_at),
         };
@@ -52,26 +52,26 @@
 
     /// Says whether some job waits for a proof, or soon will.
     #[must_use]
-    pub fn wants_proof(&self, now: Millis) -> bool {
-        let renew_ms = self.options.job_authority_ms / 2;
+    pub fn needs_leadership_proof(&self, now: Millis) -> bool {
+        let renew_ms = self.options.proof_validity_ms / 2;
         let is_old = self
-            .proof
+            .leadership_proof
             .sent_at
             .is_none_or(|sent_at| now.since(sent_at) >= renew_ms);
-        self.proof.jobs_added < self.jobs_added && is_old
+        self.leadership_proof.jobs_added < self.jobs_added && is_old
     }
 
     /// Says whether the job with a number among those added may be started.
-    pub(crate) fn is_proved(&self, number: u64, now: Millis) -> bool {
+    pub(crate) fn may_start_job(&self, number: u64, now: Millis) -> bool {
         let is_fresh = self
-            .proof
+            .leadership_proof
             .sent_at
-            .is_some_and(|sent_at| now.since(sent_at) < self.options.job_authority_ms);
-        number <= self.proof.jobs_added || is_fresh
+            .is_some_and(|sent_at| now.since(sent_at) < self.options.proof_validity_ms);
+        number <= self.leadership_proof.jobs_added || is_fresh
     }
 
     /// Tells whether the predecessors start jobs only by this rule, as those of earlier versions don't.
-    pub const fn set_predecessors_prove(&mut self, prove: bool) {
-        self.predecessors_prove = prove;
+    pub const fn set_predecessors_require_proof(&mut self, required: bool) {
+        self.predecessors_require_proof = required;
     }
 }
--- a/crates/sched/src/orders.rs
+++ b/crates/sched/src/orders.rs
@@ -26,31 +26,31 @@
         let Some(worker) = self.workers.get_mut(key) else {
             return;
         };
-        let Some(of_run) = worker.runs.get_mut(&(task, run)) else {
+        let Some(run_state) = worker.runs.get_mut(&(task, run)) else {
             return;
         };
-        let ordered_at = of_run.ordered_at;
-        if of_run.phase == Phase::Starting {
-            of_run.in_flight = false;
+        let ordered_at = run_state.ordered_at;
+        if run_state.phase == Phase::Starting {
+            run_state.in_flight = false;
         }
         match answer {
             StartAnswer::Started => {
-                of_run.confirmed_at.get_or_insert(now);
-                if of_run.phase == Phase::Starting {
-                    of_run.phase = Phase::Running;
-                    of_run.percent_at = now;
+                run_state.confirmed_at.get_or_insert(now);
+                if run_state.phase == Phase::Starting {
+                    run_state.phase = Phase::Running;
+                    run_state.percent_at = now;
                 }
-                self.order_taken(key, ordered_at, now);
+                self.order_accepted(key, ordered_at, now);
                 self.note_begun(task.step.job);
             }
             StartAnswer::Refused(refusal) => {
-                self.order_taken(key, ordered_at, now);
+                self.order_accepted(key, ordered_at, now);
                 self.start_refused(key, task, run, refusal, now);
             }
-            StartAnswer::InDoubt => self.order_missed(key, (task, run), ordered_at, now),
+            StartAnswer::InDoubt => self.order_failed(key, (task, run), ordered_at, now),
             // What the node itself held back says nothing of the worker.
             StartAnswer::NotSent => {
-                worker.contact.probe_over();
+                worker.contact.clear_probe();
                 self.start_not_sent(key, task, run, now);
             }
         }
@@ -59,11 +59,11 @@
     /// Ends a run whose start surely never left this node, unless an earlier copy did.
     fn start_not_sent(&mut self, key: WorkerKey, task: TaskId, run: Run, now: Millis) {
         let worker = &mut self.workers[key];
-        let Some(of_run) = worker.runs.get_mut(&(task, run)) else {
+        let Some(run_state) = worker.runs.get_mut(&(task, run)) else {
             return;
         };
-        of_run.copies = of_run.copies.saturating_sub(1);
-        if of_run.copies > 0 || of_run.listed {
+        run_state.copies = run_state.copies.saturating_sub(1);
+        if run_state.copies > 0 || run_state.listed {
             return;
         }
         // It goes elsewhere first.
@@ -81,12 +81,12 @@
         now: Millis,
     ) {
         let worker = &mut self.workers[key];
-        let Some(of_run) = worker.runs.get(&(task, run)) else {
+        let Some(run_state) = worker.runs.get(&(task, run)) else {
             return;
         };
         // An earlier copy of the order may have been carried out: the reports tell.
-        let in_doubt = of_run.copies > 1 && refusal == StartRefusal::OldRun;
-        if in_doubt || of_run.listed {
+        let in_doubt = run_state.copies > 1 && refusal == StartRefusal::OldRun;
+        if in_doubt || run_state.listed {
             self.stop_run(key, task, run, StopReason::StartInDoubt, now);
             return;
         }
@@ -98,7 +98,7 @@
             StartRefusal::NoRoom => {
                 worker.quarantined_until = now.plus(self.options.order_retry_ms);
             }
-            StartRefusal::Ticket => self.drop_ticket(key, task, now),
+            StartRefusal::Ticket => self.expire_ticket(key, task, now),
             StartRefusal::Fenced
             | StartRefusal::OldRun
             | StartRefusal::Late
@@ -107,7 +107,7 @@
         let retried = self.workers[key]
             .runs
             .get(&(task, run))
-            .is_some_and(|of_run| of_run.copies > 1);
+            .is_some_and(|run_state| run_state.copies > 1);
         if retried {
             // The first copy of the order may still be under way.
             self.stop_run(key, task, run, StopReason::StartInDoubt, now);
@@ -118,7 +118,7 @@
     }
 
     /// Sends a start order; the lease that it sets counts from now.
-    pub(crate) fn order_start(
+    pub(crate) fn send_start(
         &mut self,
         key: WorkerKey,
         task: TaskId,
@@ -128,7 +128,7 @@
         now: Millis,
     ) {
         self.renewing(key, now);
-        let Some((job, step, unit, _member)) = self.locate(task) else {
+        let Some((job, step, unit, _member)) = self.locate_task(task) else {
             return;
         };
         let job = &self.jobs[job];
@@ -155,20 +155,20 @@
         reason: StopReason,
         now: Millis,
     ) {
-        let Some(of_run) = self.workers[key].runs.get_mut(&(task, run)) else {
+        let Some(run_state) = self.workers[key].runs.get_mut(&(task, run)) else {
             return;
         };
-        if of_run.phase == Phase::Stopping {
+        if run_state.phase == Phase::Stopping {
             return;
         }
-        of_run.begin_stop(now);
+        run_state.begin_stop(now);
         // What takes no orders gets them one at a time.
-        if !self.workers[key].contact.shut {
-            self.order_stop(key, task, run, reason, now);
+        if !self.workers[key].contact.tripped {
+            self.send_stop(key, task, run, reason, now);
         }
     }
 
-    pub(crate) fn order_stop(
+    pub(crate) fn send_stop(
         &mut self,
         key: WorkerKey,
         task: TaskId,
@@ -176,12 +176,12 @@
         reason: StopReason,
         now: Millis,
     ) {
-        let Some(of_run) = self.workers[key].runs.get_mut(&(task, run)) else {
+        let Some(run_state) = self.workers[key].runs.get_mut(&(task, run)) else {
             return;
         };
-        of_run.ordered_at = now;
-        of_run.orders += 1;
-        of_run.in_flight = true;
+        run_state.ordered_at = now;
+        run_state.orders += 1;
+        run_state.in_flight = true;
         self.actions.push(Action::Stop {
             worker: key,
             task,
@@ -195,24 +195,24 @@
         key: WorkerKey,
         task: TaskId,
         run: Run,
-        taken: bool,
+        accepted: bool,
         now: Millis,
     ) {
         let Some(worker) = self.workers.get_mut(key) else {
             return;
         };
         let mut ordered_at = now;
-        if let Some(of_run) = worker.runs.get_mut(&(task, run)) {
-            ordered_at = of_run.ordered_at;
-            of_run.in_flight = false;
-            if taken {
-                of_run.stop_taken_at.get_or_insert(now);
+        if let Some(run_state) = worker.runs.get_mut(&(task, run)) {
+            ordered_at = run_state.ordered_at;
+            run_state.in_flight = false;
+            if accepted {
+                run_state.stop_taken_at.get_or_insert(now);
             }
         }
-        if taken {
-            self.order_taken(key, ordered_at, now);
+        if accepted {
+            self.order_accepted(key, ordered_at, now);
         } else {
-            self.order_missed(key, (task, run), ordered_at, now);
+            self.order_failed(key, (task, run), ordered_at, now);
         }
     }
 }
--- a/crates/sched/src/pacing.rs
+++ b/crates/sched/src/pacing.rs
@@ -22,13 +22,13 @@
 use crate::worker::WorkerRun;
 
 /// Full speed.
-const FULL: u8 = 100;
+const FULL_PACE: u8 = 100;
 
 /// The pace changes this often at most: reported tails are those of the last half second.
-const STEP_MS: u64 = 500;
+const ADJUST_INTERVAL_MS: u64 = 500;
 
 /// A worker on which some runs serve and others fill is asked how they do this often.
-const WATCHED_WAIT_MS: u64 = 400;
+const SHARED_REPORT_WAIT_MS: u64 = 400;
 
 /// From this share of its limit on, a tail is too long; a short burst more and it breaks the limit.
 const HIGH_TAIL_PERCENT: u64 = 85;
@@ -37,65 +37,68 @@
 const LOW_TAIL_PERCENT: u64 = 65;
 
 /// A pace that is lower than this after a cut is none: too little is done to be worth the risk.
-const LEAST_PACE: u8 = 10;
+const MIN_PACE: u8 = 10;
 
 /// What the pace rises by at a time: from a standstill to full speed in ten seconds.
-const RISE: u8 = 5;
+const PACE_INCREMENT: u8 = 5;
 
 /// An order without an answer may be carried out this much later.
-const LATE_ORDER_MS: u64 = 13_000;
+const MAX_ORDER_DELAY_MS: u64 = 13_000;
 
 /// Pace that two images are expected to get along with before they have met.
-const FIRST_EXPECTED: u32 = 60;
+const DEFAULT_EXPECTED_PACE: u32 = 60;
 
 /// Part of the way that what is remembered of two images moves at each step, in hundredths.
-const MEMORY_STEP: u32 = 20;
+const LEARNING_RATE_PERCENT: u32 = 20;
 
 /// A task that fills waits this long for a worker with time to spare, and then takes any.
-const PATIENCE_MS: u64 = 3_000;
+const BACKFILL_WAIT_MS: u64 = 3_000;
 
 /// What a run that fills is known to do.
 #[derive(Debug, Clone)]
-pub(crate) struct Fill {
+pub(crate) struct Backfill {
     /// What it asked for, in thousandths of a core.
     pub(crate) wanted_cpu_millis: u64,
     /// The pace that the worker surely has; none where that is not known.
-    known: Option<u8>,
+    confirmed_percent: Option<u8>,
     ordered_at: Millis,
     in_flight: bool,
     /// Until then an earlier order may still be carried out.
-    doubt_until: Millis,
+    late_order_until: Millis,
 }
 
-impl Fill {
+impl Backfill {
     /// A run goes at full speed until it is told otherwise.
     pub(crate) const fn started(wanted_cpu_millis: u64) -> Self {
         Self {
             wanted_cpu_millis,
-            known: Some(FULL),
+            confirmed_percent: Some(FULL_PACE),
             ordered_at: Millis(0),
             in_flight: false,
-            doubt_until: Millis(0),
+            late_order_until: Millis(0),
         }
     }
 
     /// Another scheduler may have told it otherwise.
     pub(crate) const fn forget_pace(&mut self) {
-        self.known = None;
+        self.confirmed_percent = None;
     }
 
     /// Says whether the worker has to be told a pace: it may have another, or an order that was
     /// given up may have come after the latest.
-    fn needs(&self, percent: u8, now: Millis) -> bool {
+    fn needs_order(&self, percent: u8, now: Millis) -> bool {
         if self.in_flight {
             return false;
         }
-        if self.known.is_some_and(|known| known != percent) {
+        if self
+            .confirmed_percent
+            .is_some_and(|confirmed| confirmed != percent)
+        {
             return true;
         }
         // What was not taken, or may not have been the last to arrive, is told again, but not at once.
-        let is_open = self.known.is_none() || now < self.doubt_until;
-        is_open && now.since(self.ordered_at) >= STEP_MS
+        let may_differ = self.confirmed_percent.is_none() || now < self.late_order_until;
+        may_differ && now.since(self.ordered_at) >= ADJUST_INTERVAL_MS
     }
 }
 
@@ -109,7 +112,7 @@
 impl PaceControl {
     pub(crate) const fn new() -> Self {
         Self {
-            percent: FULL,
+            percent: FULL_PACE,
             changed_at: Millis(0),
         }
     }
@@ -117,38 +120,43 @@
 
 /// What is remembered of images that fill beside images that serve: the pace that went well.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Disturbance {
+pub(crate) struct Interference {
     paces: HashMap<(SmolStr, SmolStr), u32>,
 }
 
-impl Disturbance {
-    fn expected(&self, fills: &SmolStr, serves: &SmolStr) -> u32 {
-        let key = (fills.clone(), serves.clone());
-        self.paces.get(&key).copied().unwrap_or(FIRST_EXPECTED)
+impl Interference {
+    fn expected(&self, backfill_image: &SmolStr, sensitive_image: &SmolStr) -> u32 {
+        let key = (backfill_image.clone(), sensitive_image.clone());
+        self.paces
+            .get(&key)
+            .copied()
+            .unwrap_or(DEFAULT_EXPECTED_PACE)
     }
 
-    fn learn(&mut self, fills: &SmolStr, serves: &SmolStr, percent: u8) {
-        let key = (fills.clone(), serves.clone());
-        let pace = self.paces.entry(key).or_insert(FIRST_EXPECTED);
-        *pace = (*pace * (100 - MEMORY_STEP) + u32::from(percent) * MEMORY_STEP) / 100;
+    fn record(&mut self, backfill_image: &SmolStr, sensitive_image: &SmolStr, percent: u8) {
+        let key = (backfill_image.clone(), sensitive_image.clone());
+        let pace = self.paces.entry(key).or_insert(DEFAULT_EXPECTED_PACE);
+        *pace = (*pace * (100 - LEARNING_RATE_PERCENT)
+            + u32::from(percent) * LEARNING_RATE_PERCENT)
+            / 100;
     }
 }
 
 /// Returns the next pace, by the worst tail as a share of its limit.
 fn next_pace(percent: u8, tail_percent: Option<u64>) -> u8 {
     let Some(tail_percent) = tail_percent else {
-        return FULL;
+        return FULL_PACE;
     };
     let lowered = if tail_percent >= 100 {
         percent / 4
     } else if tail_percent >= HIGH_TAIL_PERCENT {
         percent / 2
     } else if tail_percent < LOW_TAIL_PERCENT {
-        return percent.saturating_add(RISE).min(FULL);
+        return percent.saturating_add(PACE_INCREMENT).min(FULL_PACE);
     } else {
         return percent;
     };
-    if lowered < LEAST_PACE { 0 } else { lowered }
+    if lowered < MIN_PACE { 0 } else { lowered }
 }
 
 /// Returns the worst tail of the runs that serve, as a share of its limit; none where none serves.
@@ -170,61 +178,61 @@
         let Some(worker) = self.workers.get(worker) else {
             return usual_ms;
         };
-        let serves = worker.runs.values().any(WorkerRun::serves);
-        let filled = worker.runs.values().any(WorkerRun::fills);
+        let has_sensitive = worker.runs.values().any(WorkerRun::serves);
+        let has_backfill = worker.runs.values().any(WorkerRun::fills);
         // Until a suspect is known not to take its worker down, its step or its worker waits.
-        if serves && filled || worker.has_suspect() {
-            usual_ms.min(WATCHED_WAIT_MS)
+        if has_sensitive && has_backfill || worker.has_suspect() {
+            usual_ms.min(SHARED_REPORT_WAIT_MS)
         } else {
             usual_ms
         }
     }
 
     /// Sets the pace of what fills a worker by how those do that serve there.
-    pub(crate) fn pace_fills(&mut self, key: WorkerKey, now: Millis) {
+    pub(crate) fn adjust_backfill_pace(&mut self, key: WorkerKey, now: Millis) {
         let worker = &mut self.workers[key];
-        let fills = worker.runs.values().filter(|run| run.fills());
-        let fills = fills.count();
-        if fills == 0 {
+        let backfill_runs = worker.runs.values().filter(|run| run.fills());
+        let backfill_count = backfill_runs.count();
+        if backfill_count == 0 {
             return;
         }
         let tail_percent = worst_tail_percent(worker);
-        let before = worker.pace.percent;
-        if now.since(worker.pace.changed_at) >= STEP_MS {
-            worker.pace.percent = next_pace(before, tail_percent);
+        let previous = worker.pace.percent;
+        if now.since(worker.pace.changed_at) >= ADJUST_INTERVAL_MS {
+            worker.pace.percent = next_pace(previous, tail_percent);
             worker.pace.changed_at = now;
         }
         let percent = worker.pace.percent;
-        if percent != before {
+        if percent != previous {
             let note = worker.note(WorkerNote::Paced {
-                before_percent: before,
+                before_percent: previous,
                 percent,
                 tail_percent,
-                fills,
+                fills: backfill_count,
             });
             self.actions.push(note);
         }
-        self.learn_disturbance(key);
-        self.order_paces(key, now);
+        self.learn_interference(key);
+        self.send_pace_orders(key, now);
     }
 
-    fn order_paces(&mut self, key: WorkerKey, now: Millis) {
+    fn send_pace_orders(&mut self, key: WorkerKey, now: Millis) {
         let worker = &mut self.workers[key];
         // What takes no orders gets one at a time, as a probe.
-        if worker.contact.shut {
+        if worker.contact.tripped {
             return;
         }
         let percent = worker.pace.percent;
-        for ((task, run), of_run) in &mut worker.runs {
-            let is_running = of_run.phase == Phase::Running;
-            let Share::Fills(fill) = &mut of_run.share else {
+        for ((task, run), run_state) in &mut worker.runs {
+            let is_running = run_state.phase == Phase::Running;
+            let Share::Fills(backfill) = &mut run_state.share else {
                 continue;
             };
-            if !is_running || !fill.needs(percent, now) {
+            if !is_running || !backfill.needs_order(percent, now) {
                 continue;
             }
-            fill.in_flight = true;
-            fill.ordered_at = now;
+            backfill.in_flight = true;
+            backfill.ordered_at = now;
             self.actions.push(Action::Pace {
                 worker: key,
                 task: *task,
@@ -237,54 +245,55 @@
     pub(crate) fn pace_answered(
         &mut self,
         key: WorkerKey,
-        name: (TaskId, Run),
+        task_run: (TaskId, Run),
         percent: u8,
-        taken: bool,
+        accepted: bool,
         now: Millis,
     ) {
         let Some(worker) = self.workers.get_mut(key) else {
             return;
         };
-        let Some(of_run) = worker.runs.get_mut(&name) else {
+        let Some(run_state) = worker.runs.get_mut(&task_run) else {
             return;
         };
-        let Share::Fills(fill) = &mut of_run.share else {
+        let Share::Fills(backfill) = &mut run_state.share else {
             return;
         };
-        fill.in_flight = false;
-        fill.known = taken.then_some(percent);
-        let ordered_at = fill.ordered_at;
-        if taken {
-            self.order_taken(key, ordered_at, now);
+        backfill.in_flight = false;
+        backfill.confirmed_percent = accepted.then_some(percent);
+        let ordered_at = backfill.ordered_at;
+        if accepted {
+            self.order_accepted(key, ordered_at, now);
         } else {
-            fill.doubt_until = now.plus(LATE_ORDER_MS);
+            backfill.late_order_until = now.plus(MAX_ORDER_DELAY_MS);
         }
     }
 
     /// Remembers which pace the images on a worker get along with.
-    fn learn_disturbance(&mut self, key: WorkerKey) {
+    fn learn_interference(&mut self, key: WorkerKey) {
         let worker = &self.workers[key];
         let percent = worker.pace.percent;
-        let mut met = Vec::new();
-        for ((fill, _), of_fill) in &worker.runs {
-            if !of_fill.fills() {
+        let mut pairs = Vec::new();
+        for ((backfill, _), backfill_run) in &worker.runs {
+            if !backfill_run.fills() {
                 continue;
             }
-            for ((serving, _), of_serving) in &worker.runs {
-                if of_serving.serves() {
-                    met.push((self.image_of(*fill), self.image_of(*serving)));
+            for ((sensitive, _), sensitive_run) in &worker.runs {
+                if sensitive_run.serves() {
+                    pairs.push((self.image_of(*backfill), self.image_of(*sensitive)));
                 }
             }
         }
-        met.sort();
-        met.dedup();
-        for (fills, serves) in met {
-            self.disturbance.learn(&fills, &serves, percent);
+        pairs.sort();
+        pairs.dedup();
+        for (backfill_image, sensitive_image) in pairs {
+            self.interference
+                .record(&backfill_image, &sensitive_image, percent);
         }
     }
 
     fn image_of(&self, task: TaskId) -> SmolStr {
-        let found = self.locate(task);
+        let found = self.locate_task(task);
         found.map_or_else(SmolStr::default, |(job, step, _unit, _member)| {
             self.jobs[job].steps[step].spec.image.clone()
         })
@@ -292,17 +301,17 @@
 
     /// Picks the worker on which a task that fills disturbs least and gets the most; none while it
     /// had better wait for one with time to spare.
-    pub(crate) fn pick_to_fill(
+    pub(crate) fn pick_backfill_worker(
         &self,
         job: JobKey,
         step: usize,
         candidates: &[WorkerKey],
         now: Millis,
     ) -> Option<WorkerKey> {
-        let of_step = &self.jobs[job].steps[step];
-        let wanted = of_step.spec.resources.cpu_millis;
-        let waited_ms = now.since(of_step.ready_at.unwrap_or(now));
-        let least = if waited_ms > PATIENCE_MS {
+        let step_state = &self.jobs[job].steps[step];
+        let wanted = step_state.spec.resources.cpu_millis;
+        let waited_ms = now.since(step_state.ready_at.unwrap_or(now));
+        let min_unused = if waited_ms > BACKFILL_WAIT_MS {
             0
         } else {
             wanted / 2
@@ -310,25 +319,25 @@
         let spare = candidates
             .iter()
             .map(|key| (self.workers[*key].unused_cpu_millis(), *key));
-        let spare = spare.filter(|(unused, _)| *unused >= least);
+        let spare = spare.filter(|(unused, _)| *unused >= min_unused);
         let ranked = spare.map(|(unused, key)| {
-            let got = unused.min(wanted) * 100 / wanted.max(1);
-            let pace = self.expected_pace(key, &of_step.spec.image);
-            (got * u64::from(pace), unused, key)
+            let cpu_percent = unused.min(wanted) * 100 / wanted.max(1);
+            let pace = self.expected_pace(key, &step_state.spec.image);
+            (cpu_percent * u64::from(pace), unused, key)
         });
-        let best = ranked.max_by_key(|(worth, unused, _)| (*worth, *unused));
+        let best = ranked.max_by_key(|(score, unused, _)| (*score, *unused));
         best.map(|(_, _, key)| key)
     }
 
     /// Returns the pace that something of an image is expected to go at on a worker.
     fn expected_pace(&self, key: WorkerKey, image: &SmolStr) -> u32 {
-        let mut expected = u32::from(FULL);
-        for ((task, _), of_run) in &self.workers[key].runs {
-            if !of_run.serves() {
+        let mut expected = u32::from(FULL_PACE);
+        for ((task, _), run_state) in &self.workers[key].runs {
+            if !run_state.serves() {
                 continue;
             }
-            let serves = self.image_of(*task);
-            expected = expected.min(self.disturbance.expected(image, &serves));
+            let sensitive_image = self.image_of(*task);
+            expected = expected.min(self.interference.expected(image, &sensitive_image));
         }
         expected
     }
--- a/crates/sched/src/place.rs
+++ b/crates/sched/src/place.rs
@@ -39,7 +39,7 @@
     }
 
     fn serve_tasks(&mut self, job: JobKey, step: usize, now: Millis) {
-        let allowed = self.allowed_now(job, step, now);
+        let allowed = self.currently_allowed_workers(job, step, now);
         let mut preemptions = 0;
         let turn = self.turn_of(job, step);
         for unit in 0..self.jobs[job].steps[step].units.len() {
@@ -79,14 +79,14 @@
             }
         }
         if self.jobs[job].steps[step].pending > 0 {
-            self.ask_for_tasks(job, step, now);
+            self.request_task_advice(job, step, now);
         }
     }
 
     /// Says whether a worker takes in no more before its next answer, which comes within moments.
     fn is_awaited(&self, key: WorkerKey) -> bool {
         let worker = &self.workers[key];
-        !worker.takes_in() && worker.contact.is_sound()
+        !worker.takes_in() && worker.contact.is_healthy()
     }
 
     /// Picks the worker that a task fits best, of those on which it fits and that take in more.
@@ -108,10 +108,10 @@
         }
         if spec.fills {
             choice.retain(takes_in);
-            return self.pick_to_fill(job, step, &choice, now);
+            return self.pick_backfill_worker(job, step, &choice, now);
         }
-        if choice.iter().any(|key| !self.awaits_upkeep(*key)) {
-            choice.retain(|key| !self.awaits_upkeep(*key));
+        if choice.iter().any(|key| !self.awaits_maintenance(*key)) {
+            choice.retain(|key| !self.awaits_maintenance(*key));
         }
         choice.retain(takes_in);
         let need = spec.room();
@@ -163,7 +163,7 @@
     ) -> &[WorkerKey] {
         let of_step = &self.jobs[job].steps[step];
         let waited_ms = now.since(of_step.ready_at.unwrap_or(now));
-        if waited_ms > self.options.avoid_ms {
+        if waited_ms > self.options.avoid_failed_workers_ms {
             return &[];
         }
         &of_step.units[unit].avoid
@@ -246,7 +246,7 @@
             worker.suspects += u32::from(suspected);
             worker.isolations += u32::from(isolated);
         }
-        let until = now.plus(self.options.reservation_ms);
+        let until = now.plus(self.options.reservation_limit_ms);
         let unit = &mut self.jobs[job].steps[step].units[unit];
         unit.reservation = Some(Reservation {
             workers,
@@ -320,7 +320,7 @@
         let fits = is_clear && need.fits_in(&self.workers[worker].free());
         if fits && self.may_share(worker, job, step, unit) {
             if !self.has_ticket(job, step, worker, now) {
-                self.ask_again(job, step, &[worker], now);
+                self.renew_tickets(job, step, &[worker], now);
             } else if self.is_announced(Place { job, step, unit }) {
                 self.free_reserved(job, step, unit);
                 self.start_unit(job, step, unit, &[worker], now);
@@ -393,7 +393,7 @@
             let task = self.jobs[job_key].steps[step_index].task_at(id, unit_index, member);
             self.start_member(job_key, step_index, *worker, task, run, now);
         }
-        self.changed(job_key);
+        self.mark_changed(job_key);
     }
 
     fn start_member(
@@ -421,7 +421,7 @@
         };
         self.headroom.take(held.resources.cpu_millis);
         self.workers[worker].insert(task, run, held);
-        self.order_start(worker, task, run, ticket, 0, now);
+        self.send_start(worker, task, run, ticket, 0, now);
     }
 }
 
--- a/crates/sched/src/pools.rs
+++ b/crates/sched/src/pools.rs
@@ -9,11 +9,11 @@
 use syc_types::VmId;
 
 use crate::Action;
-use crate::Duty;
-use crate::DutyAnswer;
 use crate::Note;
 use crate::Scheduler;
 use crate::VmNote;
+use crate::VmOperation;
+use crate::VmOrderAnswer;
 use crate::VmState;
 
 /// A service that lacks room for this long gets VMs. A move takes longer than most bursts of small
@@ -113,7 +113,7 @@
             let demand = demands.entry(moving.pool.clone()).or_default();
             demand.free = demand.free.saturating_add(&info.capacity);
         }
-        for key in &self.open {
+        for key in &self.open_jobs {
             let job = &self.jobs[*key];
             for (index, step) in job.steps.iter().enumerate() {
                 if step.pending == 0 || !job.is_ready(index, now) {
@@ -228,7 +228,7 @@
         self.pools.moving.insert(vm.clone(), moving);
         self.actions.push(Action::OrderVm {
             vm,
-            duty: Duty::Move { pool },
+            duty: VmOperation::Move { pool },
         });
     }
 
@@ -250,7 +250,7 @@
         &mut self,
         vm: &VmId,
         pool: &ServiceName,
-        answer: DutyAnswer,
+        answer: VmOrderAnswer,
         now: Millis,
     ) {
         let Some(moving) = self.pools.moving.get_mut(vm) else {
@@ -258,9 +258,9 @@
         };
         moving.awaited = false;
         match answer {
-            DutyAnswer::Done => moving.done_at = Some(now),
-            DutyAnswer::Busy | DutyAnswer::InDoubt => {}
-            DutyAnswer::Unfit => {
+            VmOrderAnswer::Done => moving.done_at = Some(now),
+            VmOrderAnswer::Busy | VmOrderAnswer::InDoubt => {}
+            VmOrderAnswer::Unfit => {
                 self.pools.unfit.insert((vm.clone(), pool.clone()));
                 self.pools.moving.remove(vm);
                 self.pools.lent.remove(vm);
--- a/crates/sched/src/rebirth.rs
+++ b/crates/sched/src/rebirth.rs
@@ -42,7 +42,7 @@
     }
 
     fn set_misdirected_aside(&mut self, key: WorkerKey, now: Millis) {
-        let ended_at = now.plus(self.options.longest_lease_ms);
+        let ended_at = now.plus(self.options.max_lease_ms);
         let worker = &mut self.workers[key];
         let name = SmolStr::new(worker.spec.id.name());
         let unlisted = worker.runs.iter().filter(|(_, run)| !run.listed);
@@ -95,7 +95,7 @@
 
     /// Takes note that a member of a unit is on another life of its worker, if anywhere.
     fn move_member(&mut self, task: TaskId, run: Run, from: WorkerKey, to: WorkerKey) {
-        let Some((job, step, unit, member)) = self.locate(task) else {
+        let Some((job, step, unit, member)) = self.locate_task(task) else {
             return;
         };
         let Some(step) = self.jobs[job].steps.get_mut(step) else {
@@ -132,7 +132,7 @@
             ..
         } in over
         {
-            if let Some((job, step, unit, _)) = self.locate(task)
+            if let Some((job, step, unit, _)) = self.locate_task(task)
                 && let Some(step) = self.jobs[job].steps.get_mut(step)
             {
                 let unit = &mut step.units[unit];
--- a/crates/sched/src/recovery.rs
+++ b/crates/sched/src/recovery.rs
@@ -93,7 +93,7 @@
                 waiting.insert(worker.spec.id.clone());
             }
         }
-        for key in &self.open {
+        for key in &self.open_jobs {
             for step in &self.jobs[*key].steps {
                 for unit in &step.units {
                     // What of an accounted start is left has been dealt with where its worker is gone.
@@ -114,7 +114,7 @@
             waiting,
             over_at: now.plus(bound_ms),
             chosen_at,
-            new_jobs_over_at: now.plus(self.options.job_authority_ms + CLOCK_SLACK_MS),
+            new_jobs_over_at: now.plus(self.options.proof_validity_ms + CLOCK_SLACK_MS),
             predecessor_over_at: chosen_at.unwrap_or(now).plus(self.options.authority_ms),
             begun: true,
             settled: false,
@@ -157,7 +157,7 @@
     pub(crate) fn inherit_if_known_before(&mut self, job: JobKey) {
         if self
             .recovery
-            .may_know(self.jobs_read_at, self.predecessors_prove)
+            .may_know(self.jobs_read_at, self.predecessors_require_proof)
         {
             self.jobs[job].inherited = true;
         }
@@ -173,7 +173,7 @@
         if !self.recovery.is_partial {
             return;
         }
-        let keys: Vec<_> = self.open.iter().copied().collect();
+        let keys: Vec<_> = self.open_jobs.iter().copied().collect();
         for key in keys {
             self.give_up_unknown_runs_of(key, now);
         }
@@ -211,7 +211,7 @@
     /// Ends the gangs of which not every member was found.
     pub(crate) fn close_torn_gangs(&mut self, now: Millis) {
         let mut torn = Vec::new();
-        for key in &self.open {
+        for key in &self.open_jobs {
             for (step_index, step) in self.jobs[*key].steps.iter().enumerate() {
                 for (unit_index, unit) in step.units.iter().enumerate() {
                     let UnitState::Placed { run, members } = &unit.state else {
--- a/crates/sched/src/reports.rs
+++ b/crates/sched/src/reports.rs
@@ -42,7 +42,7 @@
             worker.told_at = now;
             worker.room_doubt = None;
             if begins_draining {
-                self.move_off_draining(key, now);
+                self.evacuate_draining_worker(key, now);
             }
             return;
         }
@@ -104,7 +104,7 @@
             let note = belief(worker, "silent", now);
             self.actions.push(note);
         }
-        self.watch_lease(key, now);
+        self.expire_lease(key, now);
     }
 
     pub(crate) fn replaced(&mut self, key: WorkerKey, now: Millis) {
@@ -135,7 +135,7 @@
             self.blame_for_crash(key, now);
         }
         for (task, run) in self.workers[key].runs.keys() {
-            let Some((job, step, unit, _member)) = self.locate(*task) else {
+            let Some((job, step, unit, _member)) = self.locate_task(*task) else {
                 continue;
             };
             let unit = &mut self.jobs[job].steps[step].units[unit];
@@ -156,7 +156,7 @@
         };
         if worker.silent {
             worker.silent = false;
-            worker.contact.probe_soon(now);
+            worker.contact.probe_immediately(now);
             let note = belief(worker, "answers", now);
             self.actions.push(note);
             self.doubt_room(key, now);
@@ -182,7 +182,7 @@
             self.end_absent(key, sent_at, report, now);
             self.recovery.heard(&id);
         }
-        self.pace_fills(key, now);
+        self.adjust_backfill_pace(key, now);
         self.judge_slowness(key, now);
     }
 
@@ -197,7 +197,7 @@
             return;
         }
         self.jobs[key].begin();
-        self.begun_lately.insert(key);
+        self.started_since_recorded.insert(key);
     }
 
     fn end_listed(&mut self, key: WorkerKey, ended: &EndReport, now: Millis) {
@@ -246,15 +246,15 @@
         self.take_load(key, listed);
         self.watch_probation(key, (listed.task, listed.run), now);
         if was_in_doubt {
-            self.order_taken(key, ordered_at, now);
+            self.order_accepted(key, ordered_at, now);
         }
         if is_news {
             self.note_begun(listed.task.step.job);
         }
         let of_run = &self.workers[key].runs[&(listed.task, listed.run)];
-        let stopped_long = now.since(of_run.ordered_at) > self.options.stop_ms * 2;
+        let stopped_long = now.since(of_run.ordered_at) > self.options.max_stop_ms * 2;
         if of_run.phase == Phase::Stopping && of_run.stop_taken_at.is_some() && stopped_long {
-            self.order_stop(key, listed.task, listed.run, StopReason::Unwanted, now);
+            self.send_stop(key, listed.task, listed.run, StopReason::Unwanted, now);
         } else if of_run.phase == Phase::Running && !self.is_wanted(listed.task, listed.run, now) {
             self.stop_run(key, listed.task, listed.run, StopReason::Unwanted, now);
         }
@@ -264,7 +264,7 @@
         if self.ends_by_itself(task, now) || self.is_stray(task, run) {
             return true;
         }
-        let Some((job, step, unit, _member)) = self.locate(task) else {
+        let Some((job, step, unit, _member)) = self.locate_task(task) else {
             return false;
         };
         let job = &self.jobs[job];
@@ -364,7 +364,7 @@
         if let Share::Fills(fill) = &mut run.share {
             fill.forget_pace();
         }
-        if let Some((job, step, unit, _member)) = self.locate(task) {
+        if let Some((job, step, unit, _member)) = self.locate_task(task) {
             let unit = &self.jobs[job].steps[step].units[unit];
             run.probation = Probation::of(unit.worst_blame());
         }
@@ -382,7 +382,7 @@
     }
 
     fn adopt(&mut self, key: WorkerKey, task: TaskId, run: Run) -> bool {
-        let Some((job_key, step, unit, member)) = self.locate(task) else {
+        let Some((job_key, step, unit, member)) = self.locate_task(task) else {
             return false;
         };
         let settled = self.recovery.is_settled();
--- /dev/null
+++ b/crates/sched/src/retries.rs
@@ -0,0 +1,85 @@
+//! Orders that were not taken, and are sent again.
+
+use syc_retry::backoff_ms;
+use syc_types::Millis;
+
+use crate::Run;
+use crate::Scheduler;
+use crate::StopReason;
+use crate::TaskId;
+use crate::WorkerKey;
+use crate::scatter::seed_of;
+use crate::worker::Phase;
+
+impl Scheduler {
+    /// Sends orders again that a worker did not take, as far as the budgets reach.
+    pub(crate) fn retry_orders(&mut self, key: WorkerKey, now: Millis) {
+        // Nothing reaches one that is silent; what it was told is looked at once it answers.
+        if self.workers[key].silent {
+            return;
+        }
+        if self.workers[key].contact.tripped {
+            self.send_probe(key, now);
+            return;
+        }
+        let mut due = Vec::new();
+        for (task_run, run_state) in &self.workers[key].runs {
+            if run_state.in_doubt_since().is_some() && self.is_retry_due(key, *task_run, now) {
+                due.push((run_state.ordered_at, *task_run));
+            }
+        }
+        due.sort_unstable();
+        for (_, task_run) in due {
+            let has_token = self.retry_budget.has_one(now);
+            if !has_token || !self.workers[key].contact.retry_budget.take(now) {
+                return;
+            }
+            self.retry_budget.take(now);
+            self.retry_order(key, task_run, now);
+        }
+    }
+
+    /// Says whether the latest order about a run was not taken, and it is time to send it again.
+    fn is_retry_due(&self, key: WorkerKey, task_run: (TaskId, Run), now: Millis) -> bool {
+        let options = &self.options;
+        let Some(run_state) = self.workers[key].runs.get(&task_run) else {
+            return false;
+        };
+        let retries = run_state.orders.saturating_sub(1);
+        let wait_ms = backoff_ms(
+            options.order_retry_ms,
+            options.max_retry_delay_ms,
+            retries,
+            seed_of(task_run.0, task_run.1),
+        );
+        !run_state.in_flight && now.since(run_state.ordered_at) >= wait_ms
+    }
+
+    /// Sends the order about a run again; a start that was sent often enough gives way to a stop.
+    pub(crate) fn retry_order(&mut self, key: WorkerKey, task_run: (TaskId, Run), now: Millis) {
+        let (task, run) = task_run;
+        let worker = &mut self.workers[key];
+        let withholds_lease = worker.contact.withholds_lease;
+        let is_overfull = worker.is_overfull() || worker.room_doubt.is_some();
+        let Some(run_state) = worker.runs.get_mut(&task_run) else {
+            return;
+        };
+        if run_state.phase == Phase::Stopping {
+            self.send_stop(key, task, run, StopReason::Unwanted, now);
+            return;
+        }
+        // A start would set a lease, and what has no room any more must not be started.
+        if withholds_lease || is_overfull || run_state.orders >= self.options.start_attempts_limit {
+            run_state.begin_stop(now);
+            self.send_stop(key, task, run, StopReason::StartInDoubt, now);
+            return;
+        }
+        run_state.orders += 1;
+        run_state.copies += 1;
+        run_state.ordered_at = now;
+        run_state.in_flight = true;
+        let retries = run_state.orders - 1;
+        let ticket = run_state.ticket.clone();
+        self.send_start(key, task, run, ticket, retries, now);
+    }
+}
--- a/crates/sched/src/rooms.rs
+++ b/crates/sched/src/rooms.rs
@@ -46,7 +46,7 @@
 impl Scheduler {
     /// Doubts what a worker has that has just answered again, where it was silent for long.
     pub(crate) fn doubt_room(&mut self, key: WorkerKey, now: Millis) {
-        let limit_ms = self.options.room_told_ms;
+        let limit_ms = self.options.capacity_report_ttl_ms;
         let worker = &mut self.workers[key];
         if worker.room_doubt.is_some() || !worker.may_have_shrunk(limit_ms, now) {
             return;
@@ -67,7 +67,7 @@
         let between_ms = asked_at.since(registrations.asked_at);
         registrations.readable_ms += between_ms.min(BETWEEN_READS_MS);
         registrations.asked_at = asked_at;
-        let told_within_ms = self.options.told_within_ms;
+        let told_within_ms = self.options.capacity_report_deadline_ms;
         for worker in self.workers.values_mut() {
             let Some(doubt) = &mut worker.room_doubt else {
                 continue;
--- a/crates/sched/src/scheduler.rs
+++ b/crates/sched/src/scheduler.rs
@@ -16,7 +16,6 @@
 
 use crate::Action;
 use crate::AdviceSlots;
-use crate::Duty;
 use crate::Event;
 use crate::JobId;
 use crate::JobProgress;
@@ -26,6 +25,7 @@
 use crate::Options;
 use crate::StopReason;
 use crate::TaskId;
+use crate::VmOperation;
 use crate::WorkerKey;
 use crate::headroom::Headroom;
 use crate::ids::JobKey;
@@ -33,26 +33,26 @@
 use crate::job::UnitState;
 use crate::keeping::CellClock;
 use crate::keeping::EndStamp;
-use crate::pacing::Disturbance;
+use crate::leadership_proof::LeadershipProof;
+use crate::maintenance::Maintenance;
+use crate::pacing::Interference;
 use crate::pools::Pools;
-use crate::proof::Proof;
 use crate::rebirth::Misdirected;
 use crate::recovery::Recovery;
 use crate::rooms::Registrations;
 use crate::strays::Stray;
-use crate::upkeep::Upkeep;
 use crate::vms::Vms;
 use crate::worker::Phase;
 use crate::worker::Worker;
 
 /// Orders that may be sent again at once in a cell, beside those that orders that were taken pay for.
-const REPEATS_BURST: u64 = 64;
+const RETRY_BURST: u64 = 64;
 
 /// Orders that are sent again a second in a cell at most, beside those that orders that were taken pay for.
-const REPEATS_PER_S: u64 = 20;
+const RETRIES_PER_S: u64 = 20;
 
 /// A time of day that moved by less leaves the due times as they are.
-const DAY_MOVE_MS: u64 = 20;
+const MIN_WALL_CLOCK_CHANGE_MS: u64 = 20;
 
 /// What was learned of a queue's advice.
 #[derive(Debug, Clone, Copy, Default)]
@@ -71,38 +71,38 @@
     pub(crate) job_keys: HashMap<JobId, JobKey>,
     pub(crate) registrations: Registrations,
     /// Jobs that have not ended.
-    pub(crate) open: BTreeSet<JobKey>,
+    pub(crate) open_jobs: BTreeSet<JobKey>,
     /// Jobs whose progress differs from what the store has.
     pub(crate) dirty: BTreeSet<JobKey>,
     /// Jobs that have begun since they were written: written beside others, so that a successor does not
     /// show as queued what was shown as running.
-    pub(crate) begun_lately: BTreeSet<JobKey>,
+    pub(crate) started_since_recorded: BTreeSet<JobKey>,
     /// Cancelled before the job itself was seen, and when that was.
-    pub(crate) cancelled_early: BTreeMap<JobId, Millis>,
+    pub(crate) early_cancellations: BTreeMap<JobId, Millis>,
     pub(crate) queues: HashMap<SmolStr, QueueStats>,
     pub(crate) recovery: Recovery,
     /// Runs of jobs that have not been read yet, and the time before which all that was stored has been.
     pub(crate) strays: Vec<Stray>,
     pub(crate) jobs_read_at: Millis,
     /// When workers went silent that are gone, the latest ones.
-    pub(crate) silences: VecDeque<Millis>,
+    pub(crate) recent_silences: VecDeque<Millis>,
     /// Runs that may have reached a life of their worker that is not known yet.
     pub(crate) misdirected: Vec<Misdirected>,
     /// Jobs that were added since this scheduler began.
     pub(crate) jobs_added: u64,
-    pub(crate) proof: Proof,
-    pub(crate) predecessors_prove: bool,
+    pub(crate) leadership_proof: LeadershipProof,
+    pub(crate) predecessors_require_proof: bool,
     pub(crate) cell_clock: CellClock,
     /// The time of day, once it was told.
-    pub(crate) day: Option<DayAnchor>,
+    pub(crate) wall_clock: Option<DayAnchor>,
     pub(crate) headroom: Headroom,
-    pub(crate) disturbance: Disturbance,
+    pub(crate) interference: Interference,
     pub(crate) vms: Vms,
-    pub(crate) upkeep: Upkeep,
+    pub(crate) maintenance: Maintenance,
     pub(crate) pools: Pools,
     pub(crate) advice_slots: AdviceSlots,
     /// What pays for orders that are sent again, to all workers together.
-    pub(crate) repeats: Budget,
+    pub(crate) retry_budget: Budget,
     pub(crate) actions: Vec<Action>,
     /// Workers examined so far, to find whom to ask or where to start.
     pub(crate) examined: Cell<u64>,
@@ -119,28 +119,28 @@
             registrations: Registrations::default(),
             jobs: SlotMap::with_key(),
             job_keys: HashMap::new(),
-            open: BTreeSet::new(),
+            open_jobs: BTreeSet::new(),
             dirty: BTreeSet::new(),
-            begun_lately: BTreeSet::new(),
-            cancelled_early: BTreeMap::new(),
+            started_since_recorded: BTreeSet::new(),
+            early_cancellations: BTreeMap::new(),
             queues: HashMap::new(),
             recovery: Recovery::default(),
             strays: Vec::new(),
             jobs_read_at: Millis(u64::MAX),
-            silences: VecDeque::new(),
+            recent_silences: VecDeque::new(),
             misdirected: Vec::new(),
             jobs_added: 0,
-            proof: Proof::ETERNAL,
-            predecessors_prove: false,
+            leadership_proof: LeadershipProof::NOT_REQUIRED,
+            predecessors_require_proof: false,
             cell_clock: CellClock::default(),
-            day: None,
+            wall_clock: None,
             headroom: Headroom::default(),
-            disturbance: Disturbance::default(),
+            interference: Interference::default(),
             vms: Vms::default(),
-            upkeep: Upkeep::default(),
+            maintenance: Maintenance::default(),
             pools: Pools::default(),
             advice_slots: AdviceSlots::UNBOUNDED,
-            repeats: Budget::new(REPEATS_BURST, REPEATS_PER_S),
+            retry_budget: Budget::new(RETRY_BURST, RETRIES_PER_S),
             actions: Vec::new(),
             examined: Cell::new(0),
         }
@@ -195,17 +195,19 @@
                 step,
                 asked,
                 answer,
-            } => self.advised(step, &asked, answer, now),
+            } => self.advice_answered(step, &asked, answer, now),
             Event::WavePublished { wave, age_ms } => self.wave_published(wave, age_ms, now),
             Event::WaveRecorded { wave, change } => self.wave_recorded(wave, change),
             Event::StandbySet(services) => self.set_standby(services),
             Event::VmsListed { asked_at, vms } => self.vms_listed(asked_at, vms),
             Event::VmOrderAnswered { vm, duty, answer } => match duty {
-                Duty::Upkeep { wave } => self.upkeep_answered(wave, &vm, answer, now),
-                Duty::Move { pool } => self.move_answered(&vm, &pool, answer, now),
+                VmOperation::Maintenance { wave } => {
+                    self.maintenance_answered(wave, &vm, answer, now);
+                }
+                VmOperation::Move { pool } => self.move_answered(&vm, &pool, answer, now),
             },
             Event::Recorded { jobs } => self.recorded(&jobs, now),
-            Event::Ticked => self.watch(now),
+            Event::Ticked => self.tick(now),
         }
         std::mem::take(&mut self.actions)
     }
@@ -237,7 +239,7 @@
     /// first start is still in doubt wait, as far as anybody knows.
     #[must_use]
     pub fn pending_jobs(&self, queue: &str) -> usize {
-        let open = self.open.iter().map(|key| &self.jobs[*key]);
+        let open = self.open_jobs.iter().map(|key| &self.jobs[*key]);
         open.filter(|job| !job.begun && job.spec.policy.queue == queue)
             .count()
     }
@@ -251,15 +253,15 @@
 
     /// Says whether at least half of the workers answer.
     #[must_use]
-    pub fn hears_half(&self) -> bool {
+    pub fn half_of_workers_respond(&self) -> bool {
         let silent = self.workers.values().filter(|worker| worker.silent);
         silent.count() * 2 <= self.workers.len()
     }
 
     /// Says whether some progress is not in the store yet.
     #[must_use]
-    pub fn has_records(&self) -> bool {
-        !self.dirty.is_empty() || self.upkeep.has_changes()
+    pub fn has_unrecorded_changes(&self) -> bool {
+        !self.dirty.is_empty() || self.maintenance.has_changes()
     }
 
     /// Takes the progress of the jobs that changed, and then of those that have begun, each with the number of
@@ -275,7 +277,7 @@
         let mut records = Vec::new();
         let cell = self.cell_clock.read(now);
         while records.len() < limit {
-            let Some(key) = self.next_to_write() else {
+            let Some(key) = self.next_to_record() else {
                 break;
             };
             let Some(job) = self.jobs.get_mut(key) else {
@@ -291,11 +293,11 @@
         records
     }
 
-    fn next_to_write(&mut self) -> Option<JobKey> {
+    fn next_to_record(&mut self) -> Option<JobKey> {
         let Some(changed) = self.dirty.pop_first() else {
-            return self.begun_lately.pop_first();
+            return self.started_since_recorded.pop_first();
         };
-        self.begun_lately.remove(&changed);
+        self.started_since_recorded.remove(&changed);
         Some(changed)
     }
 
@@ -329,15 +331,15 @@
     }
 
     /// Tells the time of day, by which timed jobs are due.
-    pub fn set_day(&mut self, day: DayAnchor) {
+    pub fn set_wall_clock(&mut self, day: DayAnchor) {
         let moved = self
-            .day
-            .is_none_or(|known| known.differs_ms(day) >= DAY_MOVE_MS);
+            .wall_clock
+            .is_none_or(|known| known.differs_ms(day) >= MIN_WALL_CLOCK_CHANGE_MS);
         if !moved {
             return;
         }
-        self.day = Some(day);
-        for key in &self.open {
+        self.wall_clock = Some(day);
+        for key in &self.open_jobs {
             self.jobs[*key].set_day(day);
         }
     }
@@ -362,7 +364,7 @@
             return;
         }
         let accepted_at = Millis(now.0.saturating_sub(age_ms));
-        let mut job = Job::new(spec, accepted_at, self.day);
+        let mut job = Job::new(spec, accepted_at, self.wall_clock);
         job.inherited = true;
         if let Some(progress) = progress {
             job.restore(progress);
@@ -380,7 +382,7 @@
             return;
         }
         let accepted_at = Millis(now.0.saturating_sub(age_ms));
-        let key = self.insert_open(Job::new(spec, accepted_at, self.day), now);
+        let key = self.insert_open(Job::new(spec, accepted_at, self.wall_clock), now);
         self.jobs_added += 1;
         self.jobs[key].number = self.jobs_added;
         self.inherit_if_known_before(key);
@@ -392,8 +394,8 @@
         let id = job.id();
         let key = self.jobs.insert(job);
         self.job_keys.insert(id, key);
-        self.open.insert(key);
-        if self.cancelled_early.remove(&id).is_some() {
+        self.open_jobs.insert(key);
+        if self.early_cancellations.remove(&id).is_some() {
             self.end_job(key, JobState::Cancelled, now);
         }
         key
@@ -401,7 +403,7 @@
 
     fn cancel(&mut self, id: JobId, now: Millis) {
         let Some(key) = self.job_keys.get(&id).copied() else {
-            self.cancelled_early.insert(id, now);
+            self.early_cancellations.insert(id, now);
             return;
         };
         let job = &self.jobs[key];
@@ -416,7 +418,7 @@
     }
 
     /// Marks a job as changed and returns the number of the change.
-    pub(crate) fn changed(&mut self, key: JobKey) -> u64 {
+    pub(crate) fn mark_changed(&mut self, key: JobKey) -> u64 {
         let job = &mut self.jobs[key];
         job.changes += 1;
         self.dirty.insert(key);
@@ -435,9 +437,9 @@
             after_ms: now.since(job.accepted_at),
             objective_ms: job.objective_ms,
         }));
-        self.open.remove(&key);
+        self.open_jobs.remove(&key);
         self.release_reservations(key);
-        self.changed(key);
+        self.mark_changed(key);
         // The members of a gang that is done end by themselves.
         if state != JobState::Completed {
             self.stop_runs_of(id, now);
@@ -447,8 +449,8 @@
     fn stop_runs_of(&mut self, id: JobId, now: Millis) {
         let mut stops = Vec::new();
         for (worker, held) in &self.workers {
-            for ((task, run), of_run) in &held.runs {
-                if task.step.job == id && of_run.phase != Phase::Stopping {
+            for ((task, run), run_state) in &held.runs {
+                if task.step.job == id && run_state.phase != Phase::Stopping {
                     stops.push((worker, *task, *run));
                 }
             }
@@ -477,12 +479,12 @@
                 }
                 continue;
             }
-            self.settle_units(key);
+            self.apply_recorded_outcomes(key);
         }
     }
 
     /// Lets the outcomes take effect that the store has.
-    fn settle_units(&mut self, key: JobKey) {
+    fn apply_recorded_outcomes(&mut self, key: JobKey) {
         let job = &mut self.jobs[key];
         let recorded = job.recorded;
         for step in &mut job.steps {
@@ -506,7 +508,7 @@
     }
 
     /// Finds the job, step, unit and member of a task.
-    pub(crate) fn locate(&self, task: TaskId) -> Option<(JobKey, usize, usize, usize)> {
+    pub(crate) fn locate_task(&self, task: TaskId) -> Option<(JobKey, usize, usize, usize)> {
         let key = *self.job_keys.get(&task.step.job)?;
         let index = self.jobs[key].index_of(task.step)?;
         let step = self.jobs[key].steps.get(index)?;
--- a/crates/sched/src/slowness.rs
+++ b/crates/sched/src/slowness.rs
@@ -157,7 +157,7 @@
             let Some(whole_ms) = held.whole_ms(now) else {
                 continue;
             };
-            let Some((job, step, unit, _member)) = self.locate(*task) else {
+            let Some((job, step, unit, _member)) = self.locate_task(*task) else {
                 continue;
             };
             let left_percent = u64::from(100 - held.percent.min(100));
@@ -220,7 +220,7 @@
     /// Stops what would end sooner elsewhere, as far as there is room.
     fn move_off_slow(&mut self, key: WorkerKey, lags: &[Lag], now: Millis) {
         for lag in lags {
-            let cost_ms = self.elsewhere_ms(lag) + self.options.stop_ms + MOVE_MS;
+            let cost_ms = self.elsewhere_ms(lag) + self.options.max_stop_ms + MOVE_MS;
             if lag.left_ms() * 100 > cost_ms * MOVE_GAIN && self.take_move(lag.place, key, now) {
                 self.stop_run(key, lag.task, lag.run, StopReason::Slow, now);
             }
@@ -242,7 +242,7 @@
         let of_step = &self.jobs[job].steps[step];
         let need = of_step.spec.room();
         let label = of_step.spec.required_label.as_ref();
-        let eligible = self.eligible(label, &self.jobs[job], now);
+        let eligible = self.eligible_workers(label, &self.jobs[job], now);
         let mut others = eligible.into_iter().filter(|key| *key != from);
         let has_room = others.any(|key| fits(&self.workers[key].room(), &need, 1) == 1);
         let unit = self.unit_mut(place);
--- a/crates/sched/src/suspects.rs
+++ b/crates/sched/src/suspects.rs
@@ -84,9 +84,9 @@
         };
         let suspects = worker.suspects(silent_at);
         let is_one_of_many = self.others_silent_at(key, silent_at) >= OTHERS_AT_ONCE;
-        self.silences.push_back(silent_at);
-        if self.silences.len() > SILENCES_KEPT {
-            self.silences.pop_front();
+        self.recent_silences.push_back(silent_at);
+        if self.recent_silences.len() > SILENCES_KEPT {
+            self.recent_silences.pop_front();
         }
         let units: BTreeSet<_> = suspects
             .iter()
@@ -110,7 +110,11 @@
     /// Counts the other workers that are silent, or are gone, since the same moment.
     fn others_silent_at(&self, key: WorkerKey, silent_at: Millis) -> usize {
         let is_then = |at: Millis| at.since(silent_at).max(silent_at.since(at)) <= MOMENT_MS;
-        let gone = self.silences.iter().filter(|at| is_then(**at)).count();
+        let gone = self
+            .recent_silences
+            .iter()
+            .filter(|at| is_then(**at))
+            .count();
         let others = self.workers.iter().filter(|(other, _)| *other != key);
         let silent = others.filter(|(_, worker)| worker.silent && is_then(worker.silent_since));
         gone + silent.count()
@@ -118,14 +122,14 @@
 
     /// Names the unit of a task: of a gang, all members are one.
     fn unit_key(&self, task: TaskId) -> (StepId, usize) {
-        let unit = self.locate(task).map(|(_, _, unit, _)| unit);
+        let unit = self.locate_task(task).map(|(_, _, unit, _)| unit);
         (task.step, unit.unwrap_or(usize::MAX))
     }
 
     /// Blames what a predecessor had started on a worker that is gone before it told what ran on it.
     fn blame_unheard(&mut self, worker: &WorkerId, now: Millis) {
         let mut suspects = Vec::new();
-        for key in &self.open {
+        for key in &self.open_jobs {
             for (index, step) in self.jobs[*key].steps.iter().enumerate() {
                 let id = self.step_id(*key, index);
                 for (unit_index, unit) in step.units.iter().enumerate() {
@@ -151,7 +155,7 @@
     }
 
     fn blame(&mut self, task: TaskId, run: Run, crash: Crash, now: Millis) {
-        let Some((job, step, unit, member)) = self.locate(task) else {
+        let Some((job, step, unit, member)) = self.locate_task(task) else {
             return;
         };
         let of_job = &self.jobs[job];
@@ -177,7 +181,7 @@
             there_ms: crash.there_ms,
         };
         self.actions.push(Action::Note(note));
-        self.changed(job);
+        self.mark_changed(job);
     }
 
     /// Takes note that a worker lists a run: what has been there for long enough is no longer suspected.
@@ -204,7 +208,7 @@
 
     /// Takes note that a run did not take its worker down that was started at a time.
     pub(crate) fn clear_step(&mut self, task: TaskId, started_at: Millis) {
-        if let Some((job, step, _, _)) = self.locate(task)
+        if let Some((job, step, _, _)) = self.locate_task(task)
             && let Some(of_step) = self.jobs[job].steps.get_mut(step)
         {
             of_step.clear(started_at);
@@ -212,13 +216,13 @@
     }
 
     fn forgive(&mut self, task: TaskId) {
-        let Some((job, step, unit, _)) = self.locate(task) else {
+        let Some((job, step, unit, _)) = self.locate_task(task) else {
             return;
         };
         let unit = &mut self.jobs[job].steps[step].units[unit];
         if !unit.blames.is_empty() {
             unit.blames.clear();
-            self.changed(job);
+            self.mark_changed(job);
         }
     }
 
@@ -280,7 +284,7 @@
             return self.jobs[job].recorded >= announced.change;
         }
         let before = of_unit.started;
-        let change = self.changed(job);
+        let change = self.mark_changed(job);
         let of_unit = self.unit_mut(place);
         of_unit.started = before.max(of_unit.accounted).next();
         of_unit.announced = Some(Announced { before, change });
@@ -294,6 +298,6 @@
             return;
         };
         of_unit.started = announced.before;
-        self.changed(place.job);
+        self.mark_changed(place.job);
     }
 }
--- a/crates/sched/src/watch.rs
+++ b/crates/sched/src/tick.rs
@@ -13,7 +13,7 @@
 
 impl Scheduler {
     /// Looks at everything that time alone changes.
-    pub(crate) fn watch(&mut self, now: Millis) {
+    pub(crate) fn tick(&mut self, now: Millis) {
         self.recover(now);
         self.give_up_strays(now);
         self.give_up_misdirected(now);
@@ -23,40 +23,41 @@
         let turn = usize::try_from(now.0).unwrap_or(0) % keys.len().max(1);
         keys.rotate_left(turn);
         for key in keys {
-            self.repeat_orders(key, now);
-            self.watch_progress(key, now);
-            self.watch_doubts(key, now);
-            self.watch_lease(key, now);
+            self.retry_orders(key, now);
+            self.check_progress(key, now);
+            self.check_in_doubt_orders(key, now);
+            self.expire_lease(key, now);
         }
-        self.give_up_advice(now);
-        self.watch_waves(now);
+        self.time_out_advice_calls(now);
+        self.advance_waves(now);
         self.watch_pools(now);
         self.forget_old(now);
     }
 
     /// Takes what ran on a worker as ended once its leases have surely lapsed: it is silent, or they are let
     /// lapse on purpose.
-    pub(crate) fn watch_lease(&mut self, key: WorkerKey, now: Millis) {
+    pub(crate) fn expire_lease(&mut self, key: WorkerKey, now: Millis) {
         let worker = &self.workers[key];
-        if (worker.silent || worker.contact.lapsing) && worker.lapse_at <= now {
+        if (worker.silent || worker.contact.withholds_lease) && worker.lapse_at <= now {
             self.lapse_runs(key, now);
         }
         self.detach_if_over(key, now);
     }
 
     /// Stops runs that stand still, and quarantines their worker.
-    fn watch_progress(&mut self, key: WorkerKey, now: Millis) {
+    fn check_progress(&mut self, key: WorkerKey, now: Millis) {
         let worker = &self.workers[key];
         if worker.silent {
             return;
         }
         let mut stalled = Vec::new();
-        for ((task, run), of_run) in &worker.runs {
-            if of_run.phase != Phase::Running || of_run.percent >= 100 {
+        for ((task, run), run_state) in &worker.runs {
+            if run_state.phase != Phase::Running || run_state.percent >= 100 {
                 continue;
             }
-            let still_ms = now.since(of_run.percent_at);
-            if still_ms > self.stall_bound_ms(task.step) && worker.last_answer_at.plus(500) > now {
+            let still_ms = now.since(run_state.percent_at);
+            if still_ms > self.stall_timeout_ms(task.step) && worker.last_answer_at.plus(500) > now
+            {
                 stalled.push((*task, *run));
             }
         }
@@ -64,7 +65,7 @@
             return;
         }
         for (task, run) in stalled {
-            if let Some((job, step, unit, _member)) = self.locate(task) {
+            if let Some((job, step, unit, _member)) = self.locate_task(task) {
                 let unit = &mut self.jobs[job].steps[step].units[unit];
                 if !unit.avoid.contains(&key) {
                     unit.avoid.push(key);
@@ -77,21 +78,21 @@
 
     /// Returns how long a run of a step may show no progress: one percent of it is a hundredth of
     /// its work, and its estimate may be off by half or more.
-    fn stall_bound_ms(&self, step: crate::StepId) -> u64 {
+    fn stall_timeout_ms(&self, step: crate::StepId) -> u64 {
         let job = self.job_keys.get(&step.job).map(|key| &self.jobs[*key]);
-        let of_step = job.and_then(|job| job.spec.steps.get(usize::from(step.step)));
+        let step_spec = job.and_then(|job| job.spec.steps.get(usize::from(step.step)));
         // What fills may get nothing for a while, and is none the worse for it.
-        if of_step.is_some_and(|step| step.long_running || step.fills) {
+        if step_spec.is_some_and(|spec| spec.long_running || spec.fills) {
             return u64::MAX;
         }
-        let estimate_ms = of_step.map_or(0, |step| step.estimate_ms);
-        self.options.stall_ms + estimate_ms / 10
+        let estimate_ms = step_spec.map_or(0, |step| step.estimate_ms);
+        self.options.stall_timeout_ms + estimate_ms / 10
     }
 
     /// Quarantines a worker that fails all that it starts.
     pub(crate) fn quarantine_if_failing(&mut self, key: WorkerKey, now: Millis) {
         let worker = &self.workers[key];
-        if worker.failures_in_row < self.options.failures_in_row_limit {
+        if worker.failures_in_row < self.options.run_failures_limit {
             return;
         }
         self.workers[key].failures_in_row = 0;
@@ -111,12 +112,12 @@
     }
 
     /// Moves what can go on elsewhere off a worker that is about to leave.
-    pub(crate) fn move_off_draining(&mut self, key: WorkerKey, now: Millis) {
+    pub(crate) fn evacuate_draining_worker(&mut self, key: WorkerKey, now: Millis) {
         let note = belief(&self.workers[key], "draining", now);
         self.actions.push(note);
         let mut moves = Vec::new();
-        for ((task, run), of_run) in &self.workers[key].runs {
-            if of_run.checkpointed && of_run.phase == Phase::Running {
+        for ((task, run), run_state) in &self.workers[key].runs {
+            if run_state.checkpointed && run_state.phase == Phase::Running {
                 moves.push((*task, *run));
             }
         }
--- a/crates/sched/src/units.rs
+++ b/crates/sched/src/units.rs
@@ -112,7 +112,7 @@
         checkpoint: SmolStr,
         now: Millis,
     ) -> u32 {
-        let Some((job_key, step_index, unit_index, member)) = self.locate(task) else {
+        let Some((job_key, step_index, unit_index, member)) = self.locate_task(task) else {
             return 0;
         };
         let job = &mut self.jobs[job_key];
@@ -208,7 +208,7 @@
         unit.failed = run;
         unit.failures += 1;
         let failures = unit.failures;
-        self.changed(place.job);
+        self.mark_changed(place.job);
         self.fail_if_spent(place, now);
         failures
     }
@@ -230,7 +230,7 @@
             outcome,
         };
         self.count_outcome(place, run, outcome);
-        self.changed(place.job);
+        self.mark_changed(place.job);
         if !self.fail_if_spent(place, now) {
             self.stop_members(place, run, StopReason::GangBroken, now);
         }
@@ -252,13 +252,13 @@
         if outcome == Outcome::Failed && *so_far == Outcome::Interrupted {
             *so_far = Outcome::Failed;
             self.count_outcome(place, run, outcome);
-            self.changed(place.job);
+            self.mark_changed(place.job);
             if self.fail_if_spent(place, now) {
                 return;
             }
         }
         if all_ended {
-            let change = self.changed(place.job);
+            let change = self.mark_changed(place.job);
             let outcome = Outcome::Interrupted;
             self.unit_mut(place).state = UnitState::Recording { outcome, change };
         }
@@ -301,7 +301,7 @@
     /// Notes the outcome of a unit's run; it takes effect once the store has it.
     pub(crate) fn settle(&mut self, place: Place, run: Run, outcome: Outcome, now: Millis) {
         self.count_outcome(place, run, outcome);
-        let change = self.changed(place.job);
+        let change = self.mark_changed(place.job);
         self.unit_mut(place).state = UnitState::Recording { outcome, change };
         if outcome == Outcome::Done {
             let steps = &self.jobs[place.job].steps;
--- a/crates/sched/src/usable.rs
+++ b/crates/sched/src/usable.rs
@@ -95,7 +95,7 @@
             (!self.answered, Hindrance::Unheard),
             (self.silent, Hindrance::Silent),
             (self.room_doubt.is_some(), Hindrance::RoomInDoubt),
-            (!self.contact.is_open(), Hindrance::TakesNoOrders),
+            (!self.contact.allows_starts(), Hindrance::TakesNoOrders),
             (self.spec.draining || self.emptying, Hindrance::Leaving),
             (self.quarantined_until > now, Hindrance::Quarantined),
         ];
--- a/crates/sched/src/duty.rs
+++ b/crates/sched/src/vm_operation.rs
@@ -41,7 +41,7 @@
     /// It goes to another pool.
     Moving,
     /// It has its upkeep.
-    Upkeep,
+    Maintenance,
     /// It is down.
     Down,
 }
@@ -63,9 +63,9 @@
 
 /// What can be done with a VM. All that runs on it ends at once.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Duty {
+pub enum VmOperation {
     /// It has its upkeep, as one of a wave.
-    Upkeep {
+    Maintenance {
         /// Number of the wave.
         wave: u64,
     },
@@ -76,12 +76,12 @@
     },
 }
 
-impl Duty {
+impl VmOperation {
     /// Returns the name for logs.
     #[must_use]
     pub const fn as_str(&self) -> &'static str {
         match self {
-            Self::Upkeep { .. } => "upkeep",
+            Self::Maintenance { .. } => "upkeep",
             Self::Move { .. } => "move",
         }
     }
@@ -89,7 +89,7 @@
 
 /// What an order about a VM came to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum DutyAnswer {
+pub enum VmOrderAnswer {
     /// It is done, now or by an earlier order.
     Done,
     /// The VM is not up, or leaves.
@@ -100,7 +100,7 @@
     InDoubt,
 }
 
-impl DutyAnswer {
+impl VmOrderAnswer {
     /// Returns the name for logs.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
--- a/crates/sched/src/waiting.rs
+++ b/crates/sched/src/waiting.rs
@@ -37,9 +37,9 @@
     pub(crate) fn waiting_steps(&mut self, now: Millis) -> Vec<(Urgency, JobKey, usize)> {
         let mut waiting = Vec::new();
         let settled = self.recovery.is_settled();
-        for key in &self.open {
+        for key in &self.open_jobs {
             let job = &self.jobs[*key];
-            if job.inherited && !settled || !self.is_proved(job.number, now) {
+            if job.inherited && !settled || !self.may_start_job(job.number, now) {
                 continue;
             }
             for step in 0..job.steps.len() {
@@ -75,8 +75,8 @@
         let of_job = &self.jobs[job];
         let of_step = &of_job.steps[step];
         let required_label = of_step.spec.required_label.as_ref();
-        let eligible = self.eligible(required_label, of_job, now).len();
-        let allowed = self.allowed_now(job, step, now).len();
+        let eligible = self.eligible_workers(required_label, of_job, now).len();
+        let allowed = self.currently_allowed_workers(job, step, now).len();
         let lacking = if eligible == 0 {
             "workers"
         } else if of_step.advice.asked_at.is_some() {
--- a/crates/sched/src/worker.rs
+++ b/crates/sched/src/worker.rs
@@ -18,8 +18,8 @@
 use crate::WorkerSpec;
 use crate::blame::Blame;
 use crate::blame::Probation;
-use crate::contact::Contact;
-use crate::pacing::Fill;
+use crate::circuit_breaker::CircuitBreaker;
+use crate::pacing::Backfill;
 use crate::pacing::PaceControl;
 use crate::rooms::RoomDoubt;
 
@@ -88,13 +88,13 @@
     /// What it asked for. The tail of its response times, as reported last, must stay below the limit.
     Serves { limit_ms: u64, tail_ms: Option<u64> },
     /// What the others leave unused.
-    Fills(Fill),
+    Fills(Backfill),
 }
 
 impl Share {
     fn of_step(spec: &StepSpec) -> Self {
         if spec.fills {
-            return Self::Fills(Fill::started(spec.resources.cpu_millis));
+            return Self::Fills(Backfill::started(spec.resources.cpu_millis));
         }
         match spec.tail_limit_ms {
             Some(limit_ms) => Self::Serves {
@@ -270,7 +270,7 @@
     pub(crate) emptying: bool,
     /// How fast the runs may go that fill what is left over.
     pub(crate) pace: PaceControl,
-    pub(crate) contact: Contact,
+    pub(crate) contact: CircuitBreaker,
 }
 
 impl Worker {
@@ -302,7 +302,7 @@
             suspected_runs: 0,
             emptying: false,
             pace: PaceControl::new(),
-            contact: Contact::new(),
+            contact: CircuitBreaker::new(),
         }
     }
 
@@ -318,7 +318,7 @@
             .runs
             .values()
             .filter(|run| run.phase == Phase::Starting);
-        let limit = usize::try_from(self.contact.starts_limit()).unwrap_or(usize::MAX);
+        let limit = usize::try_from(self.contact.max_unanswered_starts()).unwrap_or(usize::MAX);
         starting.take(limit).count() < limit
     }
 
--- a/crates/sched/tests/core/advice.rs
+++ b/crates/sched/tests/core/advice.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn the_most_urgent_steps_get_the_free_places_for_calls() {
+fn most_urgent_steps_get_the_free_advice_slots() {
     let mut driver = Driver::new(4, 8);
     driver.submit(1, advised(2, 100.0), vec![step(1, 1)]);
     driver.submit(2, advised(1, 100.0), vec![step(1, 1)]);
--- a/crates/sched/tests/core/doubts.rs
+++ b/crates/sched/tests/core/doubts.rs
@@ -22,7 +22,7 @@
 /// Longest time that a task may wait for a worker that takes no order, beside its own run and its next start.
 fn longest_doubt_ms() -> u64 {
     let options = Options::default();
-    options.doubt_limit_ms + options.lease_bound_ms
+    options.in_doubt_limit_ms + options.lease_bound_ms
 }
 
 /// Three workers, the first of which resets each order for so long from the first one on; some jobs come.
@@ -188,7 +188,7 @@
 #[test_case(2, 2; "both may be missing")]
 fn leases_are_let_lapse_as_far_as_what_serves_there_may_be_missing(limit: u32, expected: usize) {
     let (mut driver, serving) = serving_workers_in_doubt(limit);
-    let limit_ms = Options::default().doubt_limit_ms;
+    let limit_ms = Options::default().in_doubt_limit_ms;
     pass_without_orders(&mut driver, &serving, 2 * limit_ms);
     assert_eq!(lapsing(&driver), expected);
 }
--- a/crates/sched/tests/core/driver.rs
+++ b/crates/sched/tests/core/driver.rs
@@ -4,7 +4,6 @@
 
 use smol_str::SmolStr;
 use syc_sched::Action;
-use syc_sched::Duty;
 use syc_sched::EndReport;
 use syc_sched::Event;
 use syc_sched::JobId;
@@ -26,6 +25,7 @@
 use syc_sched::StopReason;
 use syc_sched::TaskId;
 use syc_sched::VmInfo;
+use syc_sched::VmOperation;
 use syc_sched::WorkerKey;
 use syc_sched::WorkerNote;
 use syc_sched::WorkerReport;
@@ -71,7 +71,7 @@
     pub asks: Vec<(StepId, Vec<WorkerKey>)>,
     /// Paces that were ordered, and not answered yet.
     pub paces: Vec<(WorkerKey, TaskId, Run, u8)>,
-    pub vm_orders: Vec<(VmId, Duty)>,
+    pub vm_orders: Vec<(VmId, VmOperation)>,
     /// When each list of VMs was asked for.
     pub lists_asked: Vec<Millis>,
     /// What was believed of workers, in turn.
--- a/crates/sched/tests/core/keeping.rs
+++ b/crates/sched/tests/core/keeping.rs
@@ -95,7 +95,7 @@
                 continue;
             };
             let kept_ms = self.at_ms - self.shown_at_ms[&id];
-            let status_ms = Options::default().status_ms;
+            let status_ms = Options::default().ended_job_retention_ms;
             assert!(kept_ms >= status_ms, "{id} was kept for {kept_ms} ms");
             self.kept.remove(&id);
         }
@@ -135,7 +135,7 @@
 /// The clock is off on the scheduler that writes the end, on its successor, or on both; and it is set in between.
 #[test]
 fn a_step_of_any_size_on_any_scheduler_forgets_nothing_early() {
-    let status_ms = Options::default().status_ms;
+    let status_ms = Options::default().ended_job_retention_ms;
     for first in STEPS_MS {
         for second in STEPS_MS {
             for third in STEPS_MS {
@@ -168,7 +168,7 @@
 #[test_case(true; "the scheduler hears of it")]
 #[test_case(false; "a successor finds it")]
 fn what_was_written_late_is_kept_from_when_it_was_shown(heard: bool) {
-    let status_ms = Options::default().status_ms;
+    let status_ms = Options::default().ended_job_retention_ms;
     let mut world = World::new();
     world.take_over(0);
     let end = world.end_job();
@@ -189,7 +189,7 @@
 /// What an earlier version wrote says nothing of the cell's time.
 #[test]
 fn an_end_without_the_cells_time_is_kept_from_the_takeover_on() {
-    let status_ms = Options::default().status_ms;
+    let status_ms = Options::default().ended_job_retention_ms;
     let mut world = World::new();
     let progress = JobProgress {
         state: JobState::Cancelled,
@@ -209,7 +209,7 @@
 fn what_is_kept_stays_bounded_while_schedulers_change_each_minute() {
     const TENURES: u64 = 2 * 24 * 60;
     const ENDS_A_TENURE: u64 = 12;
-    let status_ms = Options::default().status_ms;
+    let status_ms = Options::default().ended_job_retention_ms;
     let mut world = World::new();
     let mut most = 0;
     for tenure in 0..TENURES {
--- a/crates/sched/tests/core/lasting.rs
+++ b/crates/sched/tests/core/lasting.rs
@@ -161,7 +161,7 @@
 fn set_day(driver: &mut Driver, day_ms: u64) {
     let day = TimeOfDay(day_ms);
     let at = driver.now;
-    driver.scheduler.set_day(DayAnchor { at, day });
+    driver.scheduler.set_wall_clock(DayAnchor { at, day });
 }
 
 const NOON_MS: u64 = 1_790_000_000_000;
--- a/crates/sched/tests/core/upkeep.rs
+++ b/crates/sched/tests/core/maintenance.rs
@@ -1,14 +1,14 @@
 //! Waves of upkeep, by hand.
 
 use syc_sched::Action;
-use syc_sched::Duty;
-use syc_sched::DutyAnswer;
 use syc_sched::Event;
 use syc_sched::RunEnd;
 use syc_sched::StepSpec;
 use syc_sched::StopReason;
 use syc_sched::TaskId;
 use syc_sched::VmInfo;
+use syc_sched::VmOperation;
+use syc_sched::VmOrderAnswer;
 use syc_sched::VmState;
 use syc_sched::Wave;
 use syc_sched::WaveProgress;
@@ -41,7 +41,7 @@
         id: vm(index),
         pool: ServiceName::new(SERVICE),
         state: if down.contains(&index) {
-            VmState::Upkeep
+            VmState::Maintenance
         } else {
             VmState::Up
         },
@@ -68,16 +68,16 @@
     orders.into_iter().map(|(vm, _)| vm).collect()
 }
 
-fn answer(driver: &mut Driver, vm: VmId, answer: DutyAnswer) {
+fn answer(driver: &mut Driver, vm: VmId, answer: VmOrderAnswer) {
     driver.apply(Event::VmOrderAnswered {
         vm,
-        duty: Duty::Upkeep { wave: WAVE },
+        duty: VmOperation::Maintenance { wave: WAVE },
         answer,
     });
 }
 
 /// Returns the tasks that were told to go elsewhere; a stop without an answer is given again.
-fn moving_off(driver: &Driver) -> Vec<TaskId> {
+fn evacuated_tasks(driver: &Driver) -> Vec<TaskId> {
     let stops = driver.stops.iter();
     let moving = stops.filter(|stop| stop.reason == StopReason::Emptying);
     moving.map(|stop| stop.task).collect()
@@ -102,12 +102,12 @@
 }
 
 #[test]
-fn the_next_vm_goes_down_when_the_one_before_is_back() {
+fn next_vm_goes_down_after_the_previous_one_is_back() {
     let mut driver = published(3, 1);
     pass(&mut driver, 3, &[], 4_000);
     let first = ordered(&mut driver);
     assert_eq!(first, [vm(0)]);
-    answer(&mut driver, vm(0), DutyAnswer::Done);
+    answer(&mut driver, vm(0), VmOrderAnswer::Done);
     pass(&mut driver, 3, &[0], 3_000);
     assert_eq!(ordered(&mut driver), [], "the first is still down");
     pass(&mut driver, 3, &[], 1_000);
@@ -115,17 +115,17 @@
 }
 
 #[test]
-fn an_order_in_doubt_is_given_again_and_keeps_its_place() {
+fn in_doubt_order_is_retried_and_stays_counted() {
     let mut driver = published(3, 1);
     pass(&mut driver, 3, &[], 4_000);
     assert_eq!(ordered(&mut driver), [vm(0)]);
-    answer(&mut driver, vm(0), DutyAnswer::InDoubt);
+    answer(&mut driver, vm(0), VmOrderAnswer::InDoubt);
     pass(&mut driver, 3, &[], 1_000);
     assert_eq!(ordered(&mut driver), [vm(0)]);
 }
 
 #[test]
-fn a_successor_first_gives_the_orders_again_that_may_be_under_way() {
+fn successor_first_repeats_orders_that_may_be_in_flight() {
     let mut driver = Driver::new(3, 4);
     driver.scheduler.restore_wave(WaveProgress {
         number: WAVE,
@@ -143,7 +143,7 @@
 
 /// A predecessor may have ended between keeping that a wave is completed and telling it.
 #[test]
-fn a_successor_tells_again_that_a_wave_is_completed() {
+fn successor_reports_a_completed_wave_again() {
     let mut driver = Driver::new(3, 4);
     driver.scheduler.restore_wave(WaveProgress {
         number: WAVE,
@@ -161,28 +161,28 @@
 }
 
 #[test]
-fn a_wave_is_told_as_completed_once_every_vm_that_stays_has_begun() {
+fn wave_completes_once_every_remaining_vm_has_begun() {
     let mut driver = published(2, 2);
     pass(&mut driver, 2, &[], 4_000);
-    answer(&mut driver, vm(0), DutyAnswer::Done);
+    answer(&mut driver, vm(0), VmOrderAnswer::Done);
     pass(&mut driver, 2, &[0], 300);
     assert_eq!(driver.told, [(WAVE, false)]);
     // The other one leaves for good.
     pass(&mut driver, 1, &[0], 300);
-    answer(&mut driver, vm(1), DutyAnswer::InDoubt);
+    answer(&mut driver, vm(1), VmOrderAnswer::InDoubt);
     pass(&mut driver, 1, &[0], 2_000);
     assert_eq!(driver.told, [(WAVE, false), (WAVE, true)]);
 }
 
 #[test]
-fn work_moves_off_a_vm_before_it_goes_down() {
+fn vm_is_evacuated_before_it_goes_down() {
     let mut driver = Driver::new(2, 4);
-    let saved = StepSpec {
+    let checkpointed = StepSpec {
         checkpointed: true,
         estimate_ms: 60_000,
         ..step(2, 4)
     };
-    driver.submit(1, policy(0), vec![saved]);
+    driver.submit(1, policy(0), vec![checkpointed]);
     driver.schedule();
     let started = driver.confirm_starts();
     for start in &started {
@@ -194,7 +194,7 @@
     });
     pass(&mut driver, 2, &[], 4_000);
     assert_eq!(ordered(&mut driver), []);
-    let moving = moving_off(&driver);
+    let moving = evacuated_tasks(&driver);
     assert_eq!(moving.len(), 1);
     let stopped = started.iter().find(|start| start.task == moving[0]);
     let stopped = stopped.cloned().expect("one of the two");
@@ -204,14 +204,14 @@
 }
 
 #[test]
-fn tasks_that_last_move_one_by_one_within_their_bound() {
+fn long_running_tasks_move_within_their_unavailability_limit() {
     let mut driver = Driver::new(2, 4);
-    let lasting = StepSpec {
+    let long_running = StepSpec {
         long_running: true,
         unavailable_limit: Some(1),
         ..step(4, 2)
     };
-    driver.submit(1, policy(0), vec![lasting]);
+    driver.submit(1, policy(0), vec![long_running]);
     driver.schedule();
     let started = driver.confirm_starts();
     let on = |worker| {
@@ -227,18 +227,18 @@
         age_ms: 0,
     });
     pass(&mut driver, 2, &[], 10_000);
-    let moving = moving_off(&driver);
+    let moving = evacuated_tasks(&driver);
     assert_eq!(moving.len(), 1, "one is away, and no more may be");
     assert_eq!(ordered(&mut driver), []);
 }
 
 /// Work that moves to the next VM of the wave has to move again, at each of them.
 #[test]
-fn what_starts_goes_to_vms_that_have_had_their_upkeep_where_it_can() {
+fn starts_prefer_vms_that_finished_maintenance() {
     let mut driver = published(3, 1);
     pass(&mut driver, 3, &[], 4_000);
     assert_eq!(ordered(&mut driver), [vm(0)]);
-    answer(&mut driver, vm(0), DutyAnswer::Done);
+    answer(&mut driver, vm(0), VmOrderAnswer::Done);
     // The next life of the first VM is there before the second goes down.
     driver.apply(Event::WorkerListed(WorkerSpec {
         id: WorkerId::new("w-0-again"),
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn nothing_is_asked_or_ordered_without_a_wave() {
+fn no_vm_requests_without_a_wave() {
     let mut driver = Driver::new(2, 4);
     let mut asked = 0;
     for _ in 0..100 {
@@ -270,15 +270,15 @@
 /// A worker that answers no more keeps its tasks for as long as its lease may hold. Counted as at work all the
 /// while, they would let a second task of their step be stopped while their users have no answer.
 #[test]
-fn a_task_on_a_silent_worker_is_out_of_service() {
+fn task_on_a_silent_worker_counts_as_unavailable() {
     let mut driver = Driver::new(3, 4);
-    let lasting = StepSpec {
+    let long_running = StepSpec {
         long_running: true,
         unavailable_limit: Some(1),
         tasks_per_worker: Some(1),
         ..step(3, 1)
     };
-    driver.submit(1, policy(0), vec![lasting]);
+    driver.submit(1, policy(0), vec![long_running]);
     driver.schedule();
     let starts = driver.confirm_starts();
     for start in &starts {
@@ -302,16 +302,16 @@
         }
         pass(&mut driver, 3, &[], 100);
     }
-    assert_eq!(moving_off(&driver), [], "one of three is away already");
+    assert_eq!(evacuated_tasks(&driver), [], "one of three is away already");
     driver.hold(lost.worker, &[(lost.task, lost.run, 100)]);
     pass(&mut driver, 3, &[], 100);
-    assert_eq!(moving_off(&driver).len(), 1);
+    assert_eq!(evacuated_tasks(&driver).len(), 1);
 }
 
 /// A list that is slow to come shows what was so when it was asked for. Dated by the question that followed it,
 /// it would show a VM as back that has only just gone down, and the next one would follow it.
 #[test]
-fn a_list_that_comes_late_is_as_old_as_its_own_question() {
+fn late_vm_list_is_dated_by_its_own_request() {
     let mut driver = published(2, 1);
     pass(&mut driver, 2, &[], 4_000);
     assert_eq!(ordered(&mut driver), [vm(0)]);
@@ -320,7 +320,7 @@
     driver.apply(Event::Ticked);
     let first_asked_at = driver.now;
     assert_eq!(driver.lists_asked.last(), Some(&first_asked_at));
-    answer(&mut driver, vm(0), DutyAnswer::Done);
+    answer(&mut driver, vm(0), VmOrderAnswer::Done);
     driver.record();
     for _ in 0..21 {
         driver.pass(100);
@@ -342,7 +342,7 @@
 /// A list that was asked for before a wave was seen may lack a VM that joined since. Taken as gone, it would
 /// be left out, and the wave be said to be completed.
 #[test]
-fn a_list_from_before_the_wave_does_not_say_that_its_vms_are_gone() {
+fn vm_list_older_than_the_wave_removes_no_vms() {
     let mut driver = published(1, 1);
     pass(&mut driver, 1, &[], 4_000);
     let later = Wave {
--- a/crates/sched/tests/core/pools.rs
+++ b/crates/sched/tests/core/pools.rs
@@ -1,10 +1,10 @@
 //! Pools on standby, by hand.
 
-use syc_sched::Duty;
-use syc_sched::DutyAnswer;
 use syc_sched::Event;
 use syc_sched::RunEnd;
 use syc_sched::VmInfo;
+use syc_sched::VmOperation;
+use syc_sched::VmOrderAnswer;
 use syc_sched::VmState;
 use syc_sched::WorkerSpec;
 use syc_types::ServiceName;
@@ -60,16 +60,16 @@
 fn moves(driver: &mut Driver) -> Vec<(VmId, ServiceName)> {
     let orders = std::mem::take(&mut driver.vm_orders);
     let moves = orders.into_iter().filter_map(|(vm, duty)| match duty {
-        Duty::Move { pool } => Some((vm, pool)),
-        Duty::Upkeep { .. } => None,
+        VmOperation::Move { pool } => Some((vm, pool)),
+        VmOperation::Maintenance { .. } => None,
     });
     moves.collect()
 }
 
-fn answer(driver: &mut Driver, vm: VmId, to: &str, answer: DutyAnswer) {
+fn answer(driver: &mut Driver, vm: VmId, to: &str, answer: VmOrderAnswer) {
     driver.apply(Event::VmOrderAnswered {
         vm,
-        duty: Duty::Move { pool: pool(to) },
+        duty: VmOperation::Move { pool: pool(to) },
         answer,
     });
 }
@@ -98,7 +98,7 @@
     driver.submit(1, policy(0), vec![step(12, 1)]);
     pass(&mut driver, HERE, 6_000);
     assert_eq!(moves(&mut driver), [(vm(2), pool(SERVICE))]);
-    answer(&mut driver, vm(2), SERVICE, DutyAnswer::Done);
+    answer(&mut driver, vm(2), SERVICE, VmOrderAnswer::Done);
     pass(&mut driver, HERE, 1_000);
     assert_eq!(moves(&mut driver), [], "it is on its way");
 }
@@ -109,7 +109,7 @@
     driver.submit(1, policy(0), vec![step(12, 1)]);
     pass(&mut driver, HERE, 6_000);
     moves(&mut driver);
-    answer(&mut driver, vm(2), SERVICE, DutyAnswer::Unfit);
+    answer(&mut driver, vm(2), SERVICE, VmOrderAnswer::Unfit);
     pass(&mut driver, HERE, 2_000);
     assert_eq!(moves(&mut driver), [(vm(3), pool(SERVICE))]);
 }
@@ -136,7 +136,7 @@
     driver.submit(1, policy(0), vec![step(12, 1)]);
     pass(&mut driver, HERE, 6_000);
     moves(&mut driver);
-    answer(&mut driver, vm(2), SERVICE, DutyAnswer::InDoubt);
+    answer(&mut driver, vm(2), SERVICE, VmOrderAnswer::InDoubt);
     pass(&mut driver, HERE, 1_000);
     assert_eq!(moves(&mut driver), [(vm(2), pool(SERVICE))]);
 }
@@ -147,7 +147,7 @@
     driver.submit(1, policy(0), vec![step(12, 1)]);
     pass(&mut driver, HERE, 6_000);
     moves(&mut driver);
-    answer(&mut driver, vm(2), SERVICE, DutyAnswer::Done);
+    answer(&mut driver, vm(2), SERVICE, VmOrderAnswer::Done);
     driver.apply(Event::WorkerListed(WorkerSpec {
         id: WorkerId::new("w-2"),
         ..worker(2, 4)
--- a/crates/sched/tests/core/proof.rs
+++ b/crates/sched/tests/core/proof.rs
@@ -19,22 +19,24 @@
 
 #[test]
 fn a_job_starts_once_the_store_has_taken_what_was_sent_after_it_or_lately() {
-    let authority_ms = Options::default().job_authority_ms;
+    let authority_ms = Options::default().proof_validity_ms;
     let mut driver = Driver::new(1, 8);
-    driver.scheduler.require_proof();
+    driver.scheduler.require_leadership_proof();
     driver.submit(1, policy(0), vec![step(1, 1)]);
     assert!(started(&mut driver).is_empty());
-    assert!(driver.scheduler.wants_proof(driver.now));
+    assert!(driver.scheduler.needs_leadership_proof(driver.now));
     let (sent_with, sent_at) = (driver.scheduler.jobs_added(), driver.now);
     driver.pass(300);
     driver.submit(2, policy(0), vec![step(1, 1)]);
-    driver.scheduler.set_proof(sent_with, sent_at);
+    driver.scheduler.record_leadership_proof(sent_with, sent_at);
     assert_eq!(started(&mut driver), [1, 2]);
     driver.now = sent_at.plus(authority_ms);
     driver.submit(3, policy(0), vec![step(1, 1)]);
     assert!(started(&mut driver).is_empty(), "the proof is too old");
     let sent_with = driver.scheduler.jobs_added();
-    driver.scheduler.set_proof(sent_with, driver.now);
+    driver
+        .scheduler
+        .record_leadership_proof(sent_with, driver.now);
     driver.pass(authority_ms);
     assert_eq!(
         started(&mut driver),
@@ -45,15 +47,17 @@
 
 /// After a takeover in which one worker does not answer, what predecessors may have started waits for it, and what
 /// came later does not.
-#[test_case(false, Options::default().authority_ms; "of predecessors that start without a proof")]
-#[test_case(true, Options::default().job_authority_ms + 50; "of predecessors that prove")]
+#[test_case(false, Options::default().authority_ms; "predecessors that start without a proof")]
+#[test_case(true, Options::default().proof_validity_ms + 50; "predecessors that require a proof")]
 fn what_came_after_a_takeover_waits_only_while_predecessors_may_start_it(
-    prove: bool,
-    time_ms: u64,
+    require_proof: bool,
+    delay_ms: u64,
 ) {
-    for (after_ms, starts) in [(time_ms - 1, 0), (time_ms, 1)] {
+    for (after_ms, starts) in [(delay_ms - 1, 0), (delay_ms, 1)] {
         let mut driver = Driver::new(0, 0);
-        driver.scheduler.set_predecessors_prove(prove);
+        driver
+            .scheduler
+            .set_predecessors_require_proof(require_proof);
         for index in 0..2 {
             driver.apply(Event::WorkerListed(worker(index, 4)));
         }
--- a/crates/sched/tests/core/rebirth.rs
+++ b/crates/sched/tests/core/rebirth.rs
@@ -171,7 +171,7 @@
     driver.apply(Event::WorkerListed(other));
     let other = driver.workers[driver.workers.len() - 1];
     driver.hold(other, &[]);
-    let longest_ms = driver.scheduler.options().longest_lease_ms;
+    let longest_ms = driver.scheduler.options().max_lease_ms;
     driver.pass(longest_ms - 100);
     driver.apply(Event::Ticked);
     assert!(driver.settle().is_empty());
--- a/crates/sched/tests/core/review.rs
+++ b/crates/sched/tests/core/review.rs
@@ -31,7 +31,7 @@
 /// The answer to the start of a long run is lost, a report lists it, and the starts after it never leave the node:
 /// no order is in doubt.
 #[test]
-fn a_worker_without_any_doubt_is_probed_and_used_again() {
+fn worker_without_in_doubt_orders_is_probed_and_used_again() {
     let mut driver = Driver::new(1, 64);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     driver.schedule();
@@ -57,32 +57,32 @@
     }
     assert!(
         !(driver.starts.is_empty() && driver.stops.is_empty()),
-        "nothing was sent to a sound worker for a minute: {:?}",
+        "nothing was sent to a healthy worker for a minute: {:?}",
         driver.beliefs
     );
 }
 
 /// Many workers take no orders, and one loses the orders of half a second: what it runs is not to be lost with theirs.
 #[test]
-fn a_sound_worker_keeps_its_lease_while_others_use_up_the_repeats() {
+fn healthy_worker_keeps_its_lease_while_others_use_up_the_retry_budget() {
     let mut lapsed: Vec<usize> = Vec::new();
-    for sound in (0..60).step_by(6) {
-        if sound_worker_lapses(60, sound) {
-            lapsed.push(sound);
+    for healthy in (0..60).step_by(6) {
+        if healthy_worker_loses_lease(60, healthy) {
+            lapsed.push(healthy);
         }
     }
     assert!(lapsed.is_empty(), "{lapsed:?}");
 }
 
 /// Says whether the lease of the only sound worker is let lapse. Of the four tasks of each, three are cancelled.
-fn sound_worker_lapses(workers: usize, sound: usize) -> bool {
+fn healthy_worker_loses_lease(workers: usize, healthy: usize) -> bool {
     let mut site = Site::new(workers, 4);
     site.work_ms = 60_000;
     let tasks = 4 * u64::try_from(workers).expect("few");
     site.submit(1..tasks + 1);
     site.play(500);
     for index in 0..workers {
-        let time_ms = if index == sound { 500 } else { 1_000_000 };
+        let time_ms = if index == healthy { 500 } else { 1_000_000 };
         site.shut(index, time_ms);
     }
     let mut cancelled = BTreeMap::new();
@@ -93,13 +93,13 @@
             site.driver.cancel(sent.task.step.job.0);
         }
     }
-    site.play(2 * Options::default().doubt_limit_ms);
-    site.beliefs_of(sound).contains(&"lease_let_lapse")
+    site.play(2 * Options::default().in_doubt_limit_ms);
+    site.beliefs_of(healthy).contains(&"lease_let_lapse")
 }
 
 /// A reset comes within a millisecond, and so may the next report of a worker that lists an end.
 #[test]
-fn a_pace_that_was_not_taken_is_not_sent_again_within_milliseconds() {
+fn failed_pace_order_is_not_resent_immediately() {
     let mut driver = Driver::new(1, 8);
     let serves = StepSpec {
         long_running: true,
@@ -129,7 +129,7 @@
 /// A worker with more tasks of a step than may be missing resets every order. A task that was to start there is
 /// accepted, and could run elsewhere.
 #[test]
-fn a_task_does_not_wait_for_ever_for_a_worker_on_which_too_many_serve() {
+fn task_does_not_wait_forever_for_a_worker_at_its_unavailability_limit() {
     let mut driver = Driver::new(2, 4);
     let lasting = StepSpec {
         long_running: true,
--- a/crates/sched/tests/core/rooms.rs
+++ b/crates/sched/tests/core/rooms.rs
@@ -117,7 +117,7 @@
     let (mut driver, worker) = answering_after_a_long_silence();
     let answered_at = driver.now;
     driver.submit(1, policy(0), vec![step(1, 4)]);
-    let told_within_ms = Options::default().told_within_ms;
+    let told_within_ms = Options::default().capacity_report_deadline_ms;
     while driver.now < answered_at.plus(told_within_ms) {
         driver.read_workers();
         assert!(driver.settle().is_empty(), "it may have told nothing since");
@@ -133,7 +133,7 @@
 fn a_worker_whose_registration_could_not_be_read_meanwhile_is_waited_for_anew() {
     let (mut driver, worker) = answering_after_a_long_silence();
     driver.submit(1, policy(0), vec![step(1, 4)]);
-    let told_within_ms = Options::default().told_within_ms;
+    let told_within_ms = Options::default().capacity_report_deadline_ms;
     driver.pass(told_within_ms);
     driver.read_workers();
     assert!(driver.settle().is_empty());
--- a/crates/sched/tests/core/sharing.rs
+++ b/crates/sched/tests/core/sharing.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn what_fills_takes_no_processor_of_the_room() {
+fn backfill_reserves_no_cpu() {
     let mut driver = Driver::new(1, 4);
     driver.submit(1, policy(0), vec![step(1, 4)]);
     driver.submit(2, policy(1), vec![filling(1, 0)]);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn what_fills_waits_a_while_for_a_worker_with_time_to_spare_and_then_takes_any() {
+fn backfill_waits_for_unused_cpu_and_then_takes_any_worker() {
     let mut driver = Driver::new(2, 4);
     let resources = Resources {
         memory_bytes: 1,
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_tail_near_its_limit_slows_what_fills_and_slack_lets_it_rise_again() {
+fn pace_halves_near_the_tail_limit_and_recovers_with_slack() {
     let (mut driver, shop, crunch) = shared_worker();
     let lowered = report(&mut driver, (&shop, &crunch), 90, 1);
     assert_eq!(lowered, Some(50));
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn what_fills_alone_goes_at_full_speed() {
+fn backfill_alone_runs_at_full_speed() {
     let (mut driver, shop, crunch) = shared_worker();
     assert_eq!(report(&mut driver, (&shop, &crunch), 150, 4), Some(0));
     driver.cancel(1);
@@ -126,7 +126,7 @@
 
 /// An order without an answer may be carried out after the next one.
 #[test]
-fn a_pace_in_doubt_is_ordered_again_until_no_late_order_can_come() {
+fn in_doubt_pace_is_resent_until_no_late_order_can_arrive() {
     let (mut driver, shop, crunch) = shared_worker();
     driver.pass(500);
     driver.hold_loads(shop.worker, &[(&shop, 90), (&crunch, 4_000)]);
@@ -142,7 +142,7 @@
 
 #[test_case(90, Some(50); "near the limit")]
 #[test_case(20, Some(100); "far below the limit")]
-fn a_successor_orders_the_pace_of_what_it_finds(tail_ms: u64, pace: Option<u8>) {
+fn successor_sets_the_pace_of_inherited_runs(tail_ms: u64, pace: Option<u8>) {
     let (before, shop, crunch) = shared_worker();
     let mut driver = Driver::new(0, 0);
     driver.now = before.now;
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn the_next_that_fills_goes_where_its_image_disturbs_least() {
+fn backfill_prefers_the_worker_with_least_interference() {
     let mut driver = Driver::new(2, 8);
     let quiet = StepSpec {
         image: SmolStr::new_static("files"),
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn what_fills_is_not_taken_as_stalled() {
+fn paused_backfill_is_not_stalled() {
     let (mut driver, shop, crunch) = shared_worker();
     for _ in 0..40 {
         report(&mut driver, (&shop, &crunch), 150, 1);
--- a/crates/sched/tests/core/silence.rs
+++ b/crates/sched/tests/core/silence.rs
@@ -78,8 +78,8 @@
         run: first.run,
         answer: StartAnswer::InDoubt,
     };
-    for _ in 0..Options::default().start_orders_limit {
-        driver.pass(Options::default().repeat_limit_ms);
+    for _ in 0..Options::default().start_attempts_limit {
+        driver.pass(Options::default().max_retry_delay_ms);
         driver.apply(doubt.clone());
         driver.apply(Event::Ticked);
     }
--- a/crates/sched/tests/overload/replay.rs
+++ b/crates/sched/tests/overload/replay.rs
@@ -22,7 +22,7 @@
 use syc_fleet::WorkerModel;
 use syc_sched::Action;
 use syc_sched::AdviceAnswer;
-use syc_sched::Advisers;
+use syc_sched::AdviceNodes;
 use syc_sched::Allowed;
 use syc_sched::CallLength;
 use syc_sched::Event;
@@ -93,7 +93,7 @@
     now: Millis,
     fleet: FleetModel,
     scheduler: Scheduler,
-    advisers: Advisers,
+    advisers: AdviceNodes,
     advice: AdviceModel,
     sessions: BTreeMap<WorkerKey, (WorkerId, Millis)>,
     touched: BTreeSet<WorkerKey>,
@@ -128,7 +128,7 @@
             now,
             fleet: FleetModel::default(),
             scheduler: Scheduler::new(Options::default()),
-            advisers: Advisers::with_own(SmolStr::new_static("node-00"), now),
+            advisers: AdviceNodes::with_local(SmolStr::new_static("node-00"), now),
             advice: AdviceModel::default(),
             sessions: BTreeMap::new(),
             touched: BTreeSet::new(),
@@ -191,7 +191,7 @@
         let away = self.disrupted().map_or(0, |trouble| trouble.advisers_away);
         for number in 1..self.setup.advisers - away {
             self.advisers
-                .meet(&format_smolstr!("node-{number:02}"), self.now);
+                .note_heartbeat(&format_smolstr!("node-{number:02}"), self.now);
         }
     }
 
@@ -285,7 +285,7 @@
                     length,
                     asked,
                 } => {
-                    self.advisers.give_back(&adviser, length, true, self.now);
+                    self.advisers.release(&adviser, length, true, self.now);
                     self.advised(step, asked);
                 }
             }
@@ -433,7 +433,7 @@
         let policy = self.setup.kinds[kind].advice;
         let expected_ms = policy.call_ms(workers.len());
         let length = Options::default().length_of_call(expected_ms);
-        let Some(adviser) = self.advisers.take(length, self.now) else {
+        let Some(adviser) = self.advisers.acquire(length, self.now) else {
             let answer = AdviceAnswer::Failed;
             let event = Event::Advised {
                 step,
--- a/crates/sched/tests/schedules/jobs.rs
+++ b/crates/sched/tests/schedules/jobs.rs
@@ -34,17 +34,17 @@
 
 /// A job, when it comes, and how it must end.
 #[derive(Debug, Clone)]
-pub struct Given {
+pub struct GeneratedJob {
     pub spec: JobSpec,
     pub at_ms: u64,
     pub cancel_at_ms: Option<u64>,
-    pub ends_as: JobState,
+    pub expected_state: JobState,
     /// Whether it may be given up instead: a task of it takes workers down now and then.
     pub may_fail: bool,
 }
 
 /// Makes a job, and tells the workers how its tasks go.
-pub fn generate(rng: &mut SmallRng, id: u64, fleet: &mut FleetModel) -> Given {
+pub fn generate(rng: &mut SmallRng, id: u64, fleet: &mut FleetModel) -> GeneratedJob {
     let steps: Vec<_> = (0..rng.random_range(1..=3))
         .map(|index| step(rng, index))
         .collect();
@@ -56,34 +56,34 @@
         schedule: Schedule::default(),
         accepted_at_ms: TimeOfDay(0),
     };
-    let hopeless = rng.random_ratio(1, 12);
+    let always_fails = rng.random_ratio(1, 12);
     for (index, step) in (0..).zip(&spec.steps) {
         let step_id = StepId {
             job: spec.id,
             occurrence: 0,
             step: index,
         };
-        plan_step(rng, fleet, step_id, step, hopeless && index == 0);
+        plan_step(rng, fleet, step_id, step, always_fails && index == 0);
     }
     let cancelled = rng.random_ratio(1, 10);
     let at_ms = rng.random_range(0..20_000);
-    let ends_as = match (cancelled, hopeless) {
+    let expected_state = match (cancelled, always_fails) {
         (true, _) => JobState::Cancelled,
         (false, true) => JobState::Failed,
         (false, false) => JobState::Completed,
     };
-    Given {
+    GeneratedJob {
         spec,
         at_ms,
         cancel_at_ms: cancelled.then(|| at_ms + rng.random_range(0..3_000)),
-        ends_as,
+        expected_state,
         may_fail: false,
     }
 }
 
 /// Makes jobs that serve users of their own, with tails that have a limit, and jobs that fill what they
 /// leave unused and would break it at full speed.
-pub fn generate_sharing(rng: &mut SmallRng, fleet: &mut FleetModel) -> Vec<Given> {
+pub fn generate_mixed_workload(rng: &mut SmallRng, fleet: &mut FleetModel) -> Vec<GeneratedJob> {
     fleet.set_tail(
         "shop",
         TailModel {
@@ -91,7 +91,7 @@
             per_core_ms: rng.random_range(5..15),
         },
     );
-    let mut given = Vec::new();
+    let mut jobs = Vec::new();
     let serving = StepSpec {
         tasks: 5,
         resources: cpu(3),
@@ -100,7 +100,7 @@
         tail_limit_ms: Some(40),
         ..StepSpec::default()
     };
-    given.push(sharing(rng, fleet, 1, serving));
+    jobs.push(mixed_workload_job(rng, fleet, 1, serving));
     for id in 2..=8 {
         let filling = StepSpec {
             tasks: rng.random_range(1..=4),
@@ -111,25 +111,30 @@
             fills: true,
             ..StepSpec::default()
         };
-        given.push(sharing(rng, fleet, id, filling));
+        jobs.push(mixed_workload_job(rng, fleet, id, filling));
     }
-    given
+    jobs
 }
 
 /// Makes a job of tasks that last, of which one may be missing.
-pub fn generate_lasting(rng: &mut SmallRng, fleet: &mut FleetModel) -> Given {
-    let lasting = StepSpec {
+pub fn generate_long_running(rng: &mut SmallRng, fleet: &mut FleetModel) -> GeneratedJob {
+    let step = StepSpec {
         tasks: 3,
         resources: cpu(2),
         long_running: true,
         unavailable_limit: Some(1),
         ..StepSpec::default()
     };
-    sharing(rng, fleet, 1_000, lasting)
+    mixed_workload_job(rng, fleet, 1_000, step)
 }
 
-fn sharing(rng: &mut SmallRng, fleet: &mut FleetModel, id: u64, step: StepSpec) -> Given {
-    let lasts = step.long_running;
+fn mixed_workload_job(
+    rng: &mut SmallRng,
+    fleet: &mut FleetModel,
+    id: u64,
+    step: StepSpec,
+) -> GeneratedJob {
+    let is_long_running = step.long_running;
     let spec = JobSpec {
         id: JobId(id),
         payload: SmolStr::new_static("payload"),
@@ -147,7 +152,7 @@
             occurrence: 0,
             step: 0,
         };
-        let work_ms = if lasts {
+        let work_ms = if is_long_running {
             ENDLESS_MS
         } else {
             rng.random_range(1_000..5_000)
@@ -158,16 +163,16 @@
         };
         fleet.plan(TaskId { step, index }, plan);
     }
-    Given {
+    GeneratedJob {
         spec,
-        at_ms: if lasts {
+        at_ms: if is_long_running {
             0
         } else {
             rng.random_range(0..15_000)
         },
         // Long after the last of what fills should be done.
-        cancel_at_ms: lasts.then_some(100_000),
-        ends_as: if lasts {
+        cancel_at_ms: is_long_running.then_some(100_000),
+        expected_state: if is_long_running {
             JobState::Cancelled
         } else {
             JobState::Completed
@@ -177,17 +182,21 @@
 }
 
 /// Makes a job with tasks that take their workers down, in one of the forms that such a job has.
-pub fn generate_guilty(rng: &mut SmallRng, id: u64, fleet: &mut FleetModel) -> Given {
-    let form = Form::ALL[rng.random_range(0..Form::ALL.len())];
+pub fn generate_crashing(rng: &mut SmallRng, id: u64, fleet: &mut FleetModel) -> GeneratedJob {
+    let pattern = CrashPattern::ALL[rng.random_range(0..CrashPattern::ALL.len())];
     let spec = JobSpec {
         id: JobId(id),
         payload: SmolStr::new_static("payload"),
         steps: vec![StepSpec {
-            tasks: if form == Form::Alone { 1 } else { 4 },
+            tasks: if pattern == CrashPattern::OnlyTask {
+                1
+            } else {
+                4
+            },
             resources: cpu(rng.random_range(1..=2)),
             estimate_ms: 1_000,
-            gang: form == Form::Member,
-            long_running: form == Form::Lasting,
+            gang: pattern == CrashPattern::GangMember,
+            long_running: pattern == CrashPattern::LongRunning,
             ..StepSpec::default()
         }],
         policy: policy(rng),
@@ -199,11 +208,15 @@
         occurrence: 0,
         step: 0,
     };
-    let guilty = if form == Form::All { 4 } else { 1 };
+    let crashing = if pattern == CrashPattern::AllTasks {
+        4
+    } else {
+        1
+    };
     for index in 0..spec.steps[0].tasks {
         let task = TaskId { step, index };
         let plan = Plan {
-            work_ms: if form == Form::Lasting {
+            work_ms: if pattern == CrashPattern::LongRunning {
                 ENDLESS_MS
             } else {
                 rng.random_range(50..2_500)
@@ -211,52 +224,56 @@
             failing_runs: 0,
         };
         fleet.plan(task, plan);
-        if index < guilty {
+        if index < crashing {
             let plan = CrashPlan {
-                every: if form == Form::Sometimes { 2 } else { 1 },
+                every: if pattern == CrashPattern::EveryOtherStart {
+                    2
+                } else {
+                    1
+                },
                 after_ms: 10,
             };
             fleet.plan_crash(task, plan);
         }
     }
-    Given {
+    GeneratedJob {
         spec,
         at_ms: rng.random_range(0..20_000),
         cancel_at_ms: None,
-        ends_as: if form == Form::Sometimes {
+        expected_state: if pattern == CrashPattern::EveryOtherStart {
             JobState::Completed
         } else {
             JobState::Failed
         },
-        may_fail: form == Form::Sometimes,
+        may_fail: pattern == CrashPattern::EveryOtherStart,
     }
 }
 
 /// Which tasks of a job take their workers down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Form {
+enum CrashPattern {
     /// The only one.
-    Alone,
+    OnlyTask,
     /// One beside others that don't.
-    Beside,
+    OneOfSeveral,
     /// All.
-    All,
+    AllTasks,
     /// A member of a gang.
-    Member,
+    GangMember,
     /// One that lasts.
-    Lasting,
+    LongRunning,
     /// One, with every other start.
-    Sometimes,
+    EveryOtherStart,
 }
 
-impl Form {
+impl CrashPattern {
     const ALL: [Self; 6] = [
-        Self::Alone,
-        Self::Beside,
-        Self::All,
-        Self::Member,
-        Self::Lasting,
-        Self::Sometimes,
+        Self::OnlyTask,
+        Self::OneOfSeveral,
+        Self::AllTasks,
+        Self::GangMember,
+        Self::LongRunning,
+        Self::EveryOtherStart,
     ];
 }
 
@@ -301,12 +318,12 @@
     fleet: &mut FleetModel,
     step_id: StepId,
     step: &StepSpec,
-    hopeless: bool,
+    always_fails: bool,
 ) {
     for index in 0..step.tasks {
         let fails = if index > 0 {
             0
-        } else if hopeless {
+        } else if always_fails {
             u32::MAX
         } else {
             // Fewer than the limit, so that the job does not fail of it.
--- a/crates/sched/tests/schedules/world.rs
+++ b/crates/sched/tests/schedules/simulation.rs
@@ -1,12 +1,12 @@
 //! The world of a generated schedule: jobs come, orders travel, things break.
 
 mod counts;
-mod crashes;
+mod delivery;
 mod faults;
 mod orders;
-mod rebirths;
-mod sessions;
-mod travel;
+mod renewals;
+mod restarts;
+mod workers;
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -43,13 +43,13 @@
 use syc_types::WorkerId;
 use syc_types::Zone;
 
-use crate::jobs::Given;
+use crate::jobs::GeneratedJob;
 use crate::jobs::SERVICE;
 use crate::jobs::cpu;
 use crate::jobs::generate;
-use crate::jobs::generate_guilty;
-use crate::jobs::generate_lasting;
-use crate::jobs::generate_sharing;
+use crate::jobs::generate_crashing;
+use crate::jobs::generate_long_running;
+use crate::jobs::generate_mixed_workload;
 
 const TICK_MS: u64 = 10;
 const FAULTS_UNTIL_MS: u64 = 25_000;
@@ -58,11 +58,11 @@
 const WORKERS: u64 = 5;
 const CORES: u64 = 8;
 const LEASE_MS: u64 = 6_000;
-const RENEW_MS: u64 = 200;
+const RENEWAL_INTERVAL_MS: u64 = 200;
 /// The scheduler reads the registrations of workers this often.
-const READ_MS: u64 = 250;
+const REGISTRY_READ_MS: u64 = 250;
 const ORDER_TIMEOUT_MS: u64 = 300;
-const FIRST_MS: u64 = 1_000;
+const START_MS: u64 = 1_000;
 const VM_ORDER_MS: u64 = 1_500;
 const WAVE_AT_MS: u64 = 6_000;
 const WAVE_LIMIT_MS: u64 = 30_000;
@@ -74,59 +74,59 @@
     reason = "each is an independent property of a schedule"
 )]
 pub struct Profile {
-    pub scheduler_ends: u32,
-    pub cuts: u32,
-    pub crashes: u32,
-    pub lost: u32,
-    pub late: u32,
+    pub scheduler_crashes: u32,
+    pub partitions: u32,
+    pub worker_crashes: u32,
+    pub lost_per_mille: u32,
+    pub late_per_mille: u32,
     pub store_pauses: u32,
     /// Workers that answer renewals and reset each order for a while, some of which they carry out later.
-    pub shuts: u32,
+    pub resetting_workers: u32,
     /// Jobs with a task that takes its workers down.
-    pub guilty: u32,
+    pub crashing_jobs: u32,
     /// Workers whose room shrinks or grows while they run.
-    pub rooms: u32,
+    pub capacity_changes: u32,
     /// Times that a worker, or all of them, start again under their names.
-    pub rebirths: u32,
+    pub worker_restarts: u32,
     /// Workers have less than they say: the judge must see it.
-    pub understated: bool,
+    pub overstates_capacity: bool,
     /// Jobs that serve users of their own, and others that fill what they leave unused.
-    pub sharing: bool,
+    pub mixed_workload: bool,
     /// Orders to go slower reach no worker: the judge must see it.
-    pub unpaced: bool,
+    pub ignores_pace: bool,
     /// Operators want all VMs to have their upkeep, so many at a time.
-    pub wave_at_once: u32,
+    pub wave_concurrency: u32,
     /// The scheduler hears of no bound on VMs that are down, nor that any task lasts: the judge must see
     /// it.
-    pub reckless: bool,
+    pub hides_limits: bool,
 }
 
 impl Profile {
-    pub const CALM: Self = Self {
-        scheduler_ends: 0,
-        cuts: 0,
-        crashes: 0,
-        lost: 0,
-        late: 0,
+    pub const FAULT_FREE: Self = Self {
+        scheduler_crashes: 0,
+        partitions: 0,
+        worker_crashes: 0,
+        lost_per_mille: 0,
+        late_per_mille: 0,
         store_pauses: 0,
-        shuts: 0,
-        guilty: 0,
-        rooms: 0,
-        rebirths: 0,
-        understated: false,
-        sharing: false,
-        unpaced: false,
-        wave_at_once: 0,
-        reckless: false,
+        resetting_workers: 0,
+        crashing_jobs: 0,
+        capacity_changes: 0,
+        worker_restarts: 0,
+        overstates_capacity: false,
+        mixed_workload: false,
+        ignores_pace: false,
+        wave_concurrency: 0,
+        hides_limits: false,
     };
-    pub const ALL: Self = Self {
-        scheduler_ends: 4,
-        cuts: 4,
-        crashes: 3,
-        lost: 40,
-        late: 30,
+    pub const ALL_FAULTS: Self = Self {
+        scheduler_crashes: 4,
+        partitions: 4,
+        worker_crashes: 3,
+        lost_per_mille: 40,
+        late_per_mille: 30,
         store_pauses: 2,
-        ..Self::CALM
+        ..Self::FAULT_FREE
     };
 }
 
@@ -143,23 +143,23 @@
         Vec<(WaveProgress, u64)>,
         Vec<WorkerId>,
     ),
-    Restored(WorkerId),
+    PartitionHealed(WorkerId),
     VmOrder(VmCommand),
-    Listed(u64, Millis),
+    VmsListed(u64, Millis),
     /// A worker that was taken down is back, on the same VM.
-    Back(VmId, u64),
+    WorkerBack(VmId, u64),
     /// The entry of a worker that was taken down has lapsed.
-    Unlisted(WorkerId),
+    RegistrationExpired(WorkerId),
     /// A worker ends, to start again at once.
-    EndLife(WorkerId),
+    IncarnationEnds(WorkerId),
     /// A worker starts again under its name.
-    Reborn(WorkerModel),
+    IncarnationStarts(WorkerModel),
     /// A worker has so many cores from now on.
-    Room(WorkerId, u64),
+    CapacityChanges(WorkerId, u64),
     /// A worker tells of itself.
-    Told(WorkerId),
-    NewIncarnation,
-    NextScheduler,
+    WorkerReports(WorkerId),
+    WorkerStarts,
+    SchedulerStarts,
 }
 
 #[derive(Debug)]
@@ -170,160 +170,160 @@
     failed: bool,
 }
 
-pub struct World {
+pub struct Simulation {
     rng: SmallRng,
     profile: Profile,
     options: Options,
     now: Millis,
     fleet: FleetModel,
-    given: Vec<Given>,
+    jobs: Vec<GeneratedJob>,
     next_job: usize,
     scheduler: Option<Scheduler>,
     token: u64,
     sessions: BTreeMap<WorkerKey, Session>,
     deliveries: Vec<(Millis, Delivery)>,
-    faults_at: Vec<(Millis, Trouble)>,
-    kept: HashMap<JobId, JobProgress>,
+    planned_faults: Vec<(Millis, FaultKind)>,
+    stored: HashMap<JobId, JobProgress>,
     cancelled: Vec<JobId>,
-    writing: bool,
+    write_in_flight: bool,
     store_paused_until: Millis,
-    cut: BTreeMap<WorkerId, Millis>,
-    shut_until: BTreeMap<WorkerId, Millis>,
-    registered: BTreeMap<WorkerId, Life>,
+    partitioned: BTreeMap<WorkerId, Millis>,
+    resetting_until: BTreeMap<WorkerId, Millis>,
+    registered: BTreeMap<WorkerId, Incarnation>,
     /// Workers that may run something of a scheduler, as a successor finds them in the store.
-    roster: BTreeMap<WorkerId, Life>,
+    roster: BTreeMap<WorkerId, Incarnation>,
     /// Workers of the roster that are gone: the store is told so with what was concluded of it.
-    gone: Vec<WorkerId>,
+    detached: Vec<WorkerId>,
     /// Until when nothing is at the address of a worker that was taken down.
     down_until: BTreeMap<WorkerId, Millis>,
-    lives: u64,
+    incarnations: u64,
     vms: VmsModel,
     wave: Option<Wave>,
-    kept_waves: BTreeMap<u64, WaveProgress>,
+    stored_waves: BTreeMap<u64, WaveProgress>,
     /// Whether schedulers are told that workers that crashed had said that they leave.
-    forgives: bool,
+    crashes_reported_as_draining: bool,
 }
 
 /// Which life of a worker it is, and the VM that it is on.
 #[derive(Debug, Clone)]
-struct Life {
+struct Incarnation {
     number: u64,
     /// What advice goes by: of a worker that is back on its VM, that of the one before.
     slot: u64,
     /// Times that it started again under its name, each time as another kind of worker.
-    rebirths: u64,
+    restarts: u64,
     /// When the life of it began that it told of last.
-    told_birth: Millis,
+    reported_started_at: Millis,
     vm: VmId,
     /// What it has.
     cores: u64,
     /// What it said last that it has.
-    told_cores: u64,
+    reported_cores: u64,
     /// Since when it has something else than that.
-    untold_since: Option<Millis>,
+    unreported_since: Option<Millis>,
     /// Whether its registration has lapsed, as it is cut off.
-    lapsed: bool,
+    expired: bool,
 }
 
 #[derive(Debug, Clone, Copy)]
-enum Trouble {
-    SchedulerEnds,
-    Cut,
-    Crash,
-    StorePauses,
-    Shut,
-    Room,
-    Rebirth,
+enum FaultKind {
+    SchedulerCrash,
+    Partition,
+    WorkerCrash,
+    StorePause,
+    OrderResets,
+    CapacityChange,
+    WorkerRestart,
 }
 
-impl World {
+impl Simulation {
     pub fn new(seed: u64, profile: Profile, options: Options) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut fleet = FleetModel::default();
-        let mut given: Vec<_> = (1..=JOBS)
+        let mut jobs: Vec<_> = (1..=JOBS)
             .map(|id| generate(&mut rng, id, &mut fleet))
             .collect();
-        if profile.wave_at_once > 0 {
-            given.push(generate_lasting(&mut rng, &mut fleet));
+        if profile.wave_concurrency > 0 {
+            jobs.push(generate_long_running(&mut rng, &mut fleet));
         }
-        for id in 1..=u64::from(profile.guilty) {
-            given.push(generate_guilty(&mut rng, JOBS + id, &mut fleet));
+        for id in 1..=u64::from(profile.crashing_jobs) {
+            jobs.push(generate_crashing(&mut rng, JOBS + id, &mut fleet));
         }
-        if profile.sharing {
-            given = generate_sharing(&mut rng, &mut fleet);
+        if profile.mixed_workload {
+            jobs = generate_mixed_workload(&mut rng, &mut fleet);
         }
-        given.sort_by_key(|given| given.at_ms);
-        for given in &given {
-            fleet.judge.submitted(given.spec.clone());
+        jobs.sort_by_key(|job| job.at_ms);
+        for job in &jobs {
+            fleet.judge.submitted(job.spec.clone());
         }
-        let mut faults_at = Vec::new();
-        let troubles = [
-            (Trouble::SchedulerEnds, profile.scheduler_ends),
-            (Trouble::Cut, profile.cuts),
-            (Trouble::Crash, profile.crashes),
-            (Trouble::StorePauses, profile.store_pauses),
-            (Trouble::Shut, profile.shuts),
-            (Trouble::Room, profile.rooms),
-            (Trouble::Rebirth, profile.rebirths),
+        let mut planned_faults = Vec::new();
+        let fault_counts = [
+            (FaultKind::SchedulerCrash, profile.scheduler_crashes),
+            (FaultKind::Partition, profile.partitions),
+            (FaultKind::WorkerCrash, profile.worker_crashes),
+            (FaultKind::StorePause, profile.store_pauses),
+            (FaultKind::OrderResets, profile.resetting_workers),
+            (FaultKind::CapacityChange, profile.capacity_changes),
+            (FaultKind::WorkerRestart, profile.worker_restarts),
         ];
-        for (trouble, count) in troubles {
+        for (fault, count) in fault_counts {
             for _ in 0..count {
-                let at_ms = rng.random_range(FIRST_MS..FAULTS_UNTIL_MS);
-                faults_at.push((Millis(at_ms), trouble));
+                let at_ms = rng.random_range(START_MS..FAULTS_UNTIL_MS);
+                planned_faults.push((Millis(at_ms), fault));
             }
         }
-        faults_at.sort_by_key(|(at, _)| *at);
-        let mut world = Self {
+        planned_faults.sort_by_key(|(at, _)| *at);
+        let mut simulation = Self {
             rng,
             profile,
             options,
-            now: Millis(FIRST_MS),
+            now: Millis(START_MS),
             fleet,
-            given,
+            jobs,
             next_job: 0,
             scheduler: None,
             token: 0,
             sessions: BTreeMap::new(),
             deliveries: Vec::new(),
-            faults_at,
-            kept: HashMap::new(),
+            planned_faults,
+            stored: HashMap::new(),
             cancelled: Vec::new(),
-            writing: false,
+            write_in_flight: false,
             store_paused_until: Millis(0),
-            cut: BTreeMap::new(),
-            shut_until: BTreeMap::new(),
+            partitioned: BTreeMap::new(),
+            resetting_until: BTreeMap::new(),
             registered: BTreeMap::new(),
             roster: BTreeMap::new(),
-            gone: Vec::new(),
+            detached: Vec::new(),
             down_until: BTreeMap::new(),
-            lives: 0,
+            incarnations: 0,
             vms: VmsModel::new(VM_ORDER_MS),
             wave: None,
-            kept_waves: BTreeMap::new(),
-            forgives: false,
+            stored_waves: BTreeMap::new(),
+            crashes_reported_as_draining: false,
         };
         for _ in 0..WORKERS {
-            world.new_incarnation();
+            simulation.start_worker_on_new_vm();
         }
-        world.start_scheduler();
-        world
+        simulation.start_scheduler();
+        simulation
     }
 
     pub fn play(&mut self) {
         while self.now.0 < END_MS {
             self.now = self.now.plus(TICK_MS);
             self.fleet.advance(self.now);
-            self.meet_crashes();
-            self.lapse_registrations();
-            self.strike();
+            self.schedule_crash_recoveries();
+            self.expire_registrations();
+            self.inject_faults();
             self.deliver();
-            self.bring_vms();
-            self.bring_jobs();
+            self.advance_vms();
+            self.submit_due_jobs();
             self.renew();
-            self.look();
+            self.run_scheduler();
             self.check_count();
             self.write();
-            let all_ended = self.wrong_ends().is_empty() && self.vms.all_completed();
+            let all_ended = self.unexpected_states().is_empty() && self.vms.all_completed();
             let over = self.now.0 > FAULTS_UNTIL_MS + 15_000 && all_ended;
             if over {
                 return;
@@ -333,7 +333,7 @@
 
     pub fn faults(&self) -> Vec<Fault> {
         let mut judge = self.fleet.judge.clone();
-        for (id, progress) in &self.kept {
+        for (id, progress) in &self.stored {
             if progress.state == JobState::Failed {
                 judge.given_up(*id);
             }
@@ -355,14 +355,14 @@
 
     /// Returns the jobs that are kept as completed.
     pub fn completed(&self) -> impl Iterator<Item = JobId> {
-        let kept = self.kept.iter();
-        let completed = kept.filter(|(_, progress)| progress.state == JobState::Completed);
+        let stored = self.stored.iter();
+        let completed = stored.filter(|(_, progress)| progress.state == JobState::Completed);
         completed.map(|(id, _)| *id)
     }
 
     /// Has schedulers told that each worker that crashed had said that it leaves, which blames nobody.
-    pub fn forgive_crashes(&mut self) {
-        self.forgives = true;
+    pub fn report_crashes_as_draining(&mut self) {
+        self.crashes_reported_as_draining = true;
     }
 
     pub fn waves_are_completed(&self) -> bool {
@@ -370,42 +370,42 @@
     }
 
     /// Returns the jobs that ended otherwise than they must, with the state that is kept.
-    pub fn wrong_ends(&self) -> Vec<(JobId, JobState, Option<JobState>)> {
-        let mut wrong = Vec::new();
-        for given in &self.given {
-            let id = given.spec.id;
-            let kept = self.kept.get(&id).map(|progress| progress.state);
+    pub fn unexpected_states(&self) -> Vec<(JobId, JobState, Option<JobState>)> {
+        let mut unexpected = Vec::new();
+        for job in &self.jobs {
+            let id = job.spec.id;
+            let stored = self.stored.get(&id).map(|progress| progress.state);
             // A job that was cancelled late may have ended by itself before.
-            let ended = kept.is_some_and(JobState::is_terminal);
-            let right = match given.ends_as {
+            let ended = stored.is_some_and(JobState::is_terminal);
+            let as_expected = match job.expected_state {
                 JobState::Cancelled => ended,
-                _ if given.may_fail && kept == Some(JobState::Failed) => true,
-                other => kept == Some(other),
+                _ if job.may_fail && stored == Some(JobState::Failed) => true,
+                other => stored == Some(other),
             };
-            if !right {
-                wrong.push((id, given.ends_as, kept));
+            if !as_expected {
+                unexpected.push((id, job.expected_state, stored));
             }
         }
-        wrong
+        unexpected
     }
 
     /// Starts a worker on a VM of its own.
-    fn new_incarnation(&mut self) {
-        let vm = VmId::new(format!("vm-{}", self.lives + 1));
+    fn start_worker_on_new_vm(&mut self) {
+        let vm = VmId::new(format!("vm-{}", self.incarnations + 1));
         self.vms
             .add(vm.clone(), ServiceName::new(SERVICE), cpu(CORES));
-        self.new_life(&vm);
+        self.start_worker(&vm);
     }
 
-    fn new_life(&mut self, vm: &VmId) {
-        let slot = self.lives + 1;
-        self.new_life_of(vm, slot);
+    fn start_worker(&mut self, vm: &VmId) {
+        let slot = self.incarnations + 1;
+        self.start_worker_in_slot(vm, slot);
     }
 
-    fn new_life_of(&mut self, vm: &VmId, slot: u64) {
-        self.lives += 1;
-        let id = WorkerId::new(format!("w-{}", self.lives));
-        let cores = if self.profile.understated {
+    fn start_worker_in_slot(&mut self, vm: &VmId, slot: u64) {
+        self.incarnations += 1;
+        let id = WorkerId::new(format!("w-{}", self.incarnations));
+        let cores = if self.profile.overstates_capacity {
             CORES / 2
         } else {
             CORES
@@ -413,31 +413,32 @@
         let slow_per_mille = self.rng.random_range(0..=20);
         self.fleet
             .add(WorkerModel::new(id.clone(), cpu(cores), slow_per_mille));
-        let life = Life {
-            number: self.lives,
+        let incarnation = Incarnation {
+            number: self.incarnations,
             slot,
-            rebirths: 0,
-            told_birth: Millis(0),
+            restarts: 0,
+            reported_started_at: Millis(0),
             vm: vm.clone(),
             cores: CORES,
-            told_cores: CORES,
-            untold_since: None,
-            lapsed: false,
+            reported_cores: CORES,
+            unreported_since: None,
+            expired: false,
         };
         self.vms.set_worker(vm, id.clone());
-        self.registered.insert(id.clone(), life.clone());
-        self.roster.insert(life_id(&id, &life), life.clone());
-        let spec = spec_of(&id, &life);
+        self.registered.insert(id.clone(), incarnation.clone());
+        self.roster
+            .insert(incarnation_id(&id, &incarnation), incarnation.clone());
+        let spec = spec_of(&id, &incarnation);
         self.apply(Event::WorkerListed(spec));
     }
 
     fn start_scheduler(&mut self) {
         self.token += 1;
         self.sessions.clear();
-        self.gone.clear();
-        self.writing = false;
+        self.detached.clear();
+        self.write_in_flight = false;
         let mut scheduler = Scheduler::new(self.options);
-        let ended = self.kept.iter().filter_map(|(id, progress)| {
+        let ended = self.stored.iter().filter_map(|(id, progress)| {
             progress.state.is_terminal().then_some(EndedJob {
                 id: *id,
                 state: progress.state,
@@ -446,37 +447,39 @@
         });
         let ended: Vec<_> = ended.collect();
         scheduler.restore_ended(&ended, self.now);
-        for given in &self.given[..self.next_job] {
-            let progress = self.kept.get(&given.spec.id);
+        for job in &self.jobs[..self.next_job] {
+            let progress = self.stored.get(&job.spec.id);
             if progress.is_some_and(|progress| progress.state.is_terminal()) {
                 continue;
             }
-            let age_ms = self.now.0 - given.at_ms.min(self.now.0);
-            scheduler.restore_job(given.spec.clone(), progress, age_ms, self.now);
+            let age_ms = self.now.0 - job.at_ms.min(self.now.0);
+            scheduler.restore_job(job.spec.clone(), progress, age_ms, self.now);
         }
         self.scheduler = Some(scheduler);
         let mut registered = self.registered.clone();
-        registered.retain(|_, life| !life.lapsed);
-        for (id, life) in &registered {
-            self.apply(Event::WorkerListed(spec_of(id, life)));
+        registered.retain(|_, incarnation| !incarnation.expired);
+        for (id, incarnation) in &registered {
+            self.apply(Event::WorkerListed(spec_of(id, incarnation)));
         }
-        let mut left = self.roster.clone();
+        let mut unregistered = self.roster.clone();
         // Other schedules know of those alone that are registered.
         let listed: Vec<_> = registered
             .iter()
-            .map(|(id, life)| life_id(id, life))
+            .map(|(id, incarnation)| incarnation_id(id, incarnation))
             .collect();
-        let keeps = self.profile.guilty > 0 || self.profile.rebirths > 0 || self.profile.rooms > 0;
-        left.retain(|id, _| keeps && !listed.contains(id));
-        for (id, life) in &left {
+        let restores_roster = self.profile.crashing_jobs > 0
+            || self.profile.worker_restarts > 0
+            || self.profile.capacity_changes > 0;
+        unregistered.retain(|id, _| restores_roster && !listed.contains(id));
+        for (id, incarnation) in &unregistered {
             self.apply(Event::WorkerListed(spec_of(
                 &WorkerId::new(id.name()),
-                life,
+                incarnation,
             )));
         }
-        for left in self.kept_waves.values().cloned() {
+        for progress in self.stored_waves.values().cloned() {
             if let Some(scheduler) = &mut self.scheduler {
-                scheduler.restore_wave(left);
+                scheduler.restore_wave(progress);
             }
         }
         if let Some(wave) = self.wave.clone() {
@@ -488,42 +491,45 @@
         if let Some(scheduler) = &mut self.scheduler {
             scheduler.begin_recovery(self.now);
         }
-        for id in left.into_keys() {
+        for id in unregistered.into_keys() {
             self.apply(Event::WorkerUnlisted(id));
         }
     }
 
     /// Publishes the wave when its time has come, and starts workers on VMs that are back.
-    fn bring_vms(&mut self) {
-        let is_due = self.profile.wave_at_once > 0 && self.now.0 >= WAVE_AT_MS;
+    fn advance_vms(&mut self) {
+        let is_due = self.profile.wave_concurrency > 0 && self.now.0 >= WAVE_AT_MS;
         if is_due && self.wave.is_none() {
-            let vms = self.registered.values().map(|life| life.vm.clone());
+            let vms = self
+                .registered
+                .values()
+                .map(|incarnation| incarnation.vm.clone());
             let wave = Wave {
                 number: 3,
                 vms: vms.collect(),
                 limit_ms: WAVE_LIMIT_MS,
-                at_once: self.profile.wave_at_once,
+                at_once: self.profile.wave_concurrency,
             };
             self.vms.publish(wave.clone());
-            let told = Wave {
-                at_once: if self.profile.reckless {
+            let announced = Wave {
+                at_once: if self.profile.hides_limits {
                     u32::MAX
                 } else {
                     wave.at_once
                 },
                 ..wave
             };
-            self.wave = Some(told.clone());
+            self.wave = Some(announced.clone());
             self.apply(Event::WavePublished {
-                wave: told,
+                wave: announced,
                 age_ms: 0,
             });
         }
         for id in self.vms.take_ended() {
-            self.unlist(&id);
+            self.unregister(&id);
         }
         for (vm, _pool) in self.vms.advance(self.now) {
-            self.new_life(&vm);
+            self.start_worker(&vm);
         }
     }
 
@@ -535,12 +541,12 @@
         self.perform(actions);
     }
 
-    fn look(&mut self) {
+    fn run_scheduler(&mut self) {
         let Some(scheduler) = &mut self.scheduler else {
             return;
         };
         let mut actions = scheduler.handle(Event::Ticked, self.now);
-        if self.now.0.is_multiple_of(READ_MS) {
+        if self.now.0.is_multiple_of(REGISTRY_READ_MS) {
             let asked_at = self.now;
             actions.extend(scheduler.handle(Event::WorkersRead { asked_at }, asked_at));
         }
@@ -562,7 +568,7 @@
                 }
                 Action::Detach { worker } => {
                     if let Some(session) = self.sessions.remove(&worker) {
-                        self.gone.push(session.id);
+                        self.detached.push(session.id);
                     }
                 }
                 Action::Start(order) => self.send_start(&order),
@@ -578,7 +584,7 @@
                 Action::Ask { step, workers, .. } => self.advise(step, &workers),
                 Action::ListVms { asked_at } => {
                     let delay_ms = self.rng.random_range(2..20);
-                    self.later(delay_ms, Delivery::Listed(self.token, asked_at));
+                    self.schedule(delay_ms, Delivery::VmsListed(self.token, asked_at));
                 }
                 Action::OrderVm { vm, duty } => self.send_vm_order(vm, duty),
                 Action::TellWave { wave, completed } => self.vms.told(wave, completed),
@@ -587,15 +593,15 @@
         }
     }
 
-    fn bring_jobs(&mut self) {
-        while let Some(given) = self.given.get(self.next_job) {
-            if given.at_ms + FIRST_MS > self.now.0 {
+    fn submit_due_jobs(&mut self) {
+        while let Some(job) = self.jobs.get(self.next_job) {
+            if job.at_ms + START_MS > self.now.0 {
                 break;
             }
             self.next_job += 1;
-            let mut spec = Box::new(given.spec.clone());
+            let mut spec = Box::new(job.spec.clone());
             for step in &mut spec.steps {
-                if self.profile.reckless {
+                if self.profile.hides_limits {
                     step.unavailable_limit = None;
                     step.long_running = false;
                 }
@@ -603,12 +609,12 @@
             self.apply(Event::JobStored { spec, age_ms: 0 });
         }
         let mut cancels = Vec::new();
-        for given in &self.given[..self.next_job] {
-            let due = given
+        for job in &self.jobs[..self.next_job] {
+            let due = job
                 .cancel_at_ms
-                .is_some_and(|at_ms| at_ms + FIRST_MS <= self.now.0);
-            if due && !self.cancelled.contains(&given.spec.id) {
-                cancels.push(given.spec.id);
+                .is_some_and(|at_ms| at_ms + START_MS <= self.now.0);
+            if due && !self.cancelled.contains(&job.spec.id) {
+                cancels.push(job.spec.id);
             }
         }
         for id in cancels {
@@ -620,20 +626,20 @@
 }
 
 /// Names the life of a worker that it told of last.
-fn life_id(name: &WorkerId, life: &Life) -> WorkerId {
-    WorkerId::of_life(name.as_str(), Some(life.told_birth.0))
+fn incarnation_id(name: &WorkerId, incarnation: &Incarnation) -> WorkerId {
+    WorkerId::of_life(name.as_str(), Some(incarnation.reported_started_at.0))
 }
 
-fn spec_of(id: &WorkerId, life: &Life) -> WorkerSpec {
+fn spec_of(id: &WorkerId, incarnation: &Incarnation) -> WorkerSpec {
     WorkerSpec {
-        id: life_id(id, life),
+        id: incarnation_id(id, incarnation),
         service: ServiceName::new(SERVICE),
         address: SmolStr::new_static("10.0.0.1:1"),
         zone: Zone::new("zone"),
-        rack: RackId::new(format!("r-{}", life.number % 2)),
+        rack: RackId::new(format!("r-{}", incarnation.number % 2)),
         labels: Vec::new(),
-        capacity: cpu(life.told_cores),
+        capacity: cpu(incarnation.reported_cores),
         draining: false,
-        vm: Some(life.vm.clone()),
+        vm: Some(incarnation.vm.clone()),
     }
 }
--- a/crates/sched/tests/schedules/world/counts.rs
+++ b/crates/sched/tests/schedules/simulation/counts.rs
@@ -2,18 +2,18 @@
 
 use syc_sched::JobState;
 
-use super::World;
+use super::Simulation;
 use crate::jobs::QUEUE;
 
-impl World {
+impl Simulation {
     /// Asks how many jobs wait, as a caller may at any time.
     pub(super) fn check_count(&mut self) {
         let Some(scheduler) = &self.scheduler else {
             return;
         };
         let mut open = Vec::new();
-        for given in &self.given[..self.next_job] {
-            let id = given.spec.id;
+        for job in &self.jobs[..self.next_job] {
+            let id = job.spec.id;
             let ended = scheduler.state_of(id).is_some_and(JobState::is_terminal);
             if !ended && !self.cancelled.contains(&id) {
                 open.push(id);
--- a/crates/sched/tests/schedules/world/travel.rs
+++ b/crates/sched/tests/schedules/simulation/delivery.rs
@@ -3,9 +3,9 @@
 use syc_sched::Event;
 
 use super::Delivery;
-use super::World;
+use super::Simulation;
 
-impl World {
+impl Simulation {
     pub(super) fn deliver(&mut self) {
         let now = self.now;
         let mut due = Vec::new();
@@ -28,51 +28,51 @@
         match delivery {
             Delivery::Start(id, command) => {
                 // Whether it was refused or carried out, nobody hears of it.
-                let _unheard = self.fleet.start_late(&id, &command, self.now);
+                let _result = self.fleet.start_late(&id, &command, self.now);
             }
             Delivery::Stop(id, command) => {
-                let _unheard = self.fleet.stop(&id, &command, self.now);
+                let _result = self.fleet.stop(&id, &command, self.now);
             }
             Delivery::Pace(id, command) => {
-                let _unheard = self.fleet.pace(&id, &command, self.now);
+                let _result = self.fleet.pace(&id, &command, self.now);
             }
             Delivery::Answer(token, event) => {
                 if token == self.token {
                     self.apply(event);
                 }
             }
-            Delivery::Recorded(token, records, waves, gone) => {
+            Delivery::Recorded(token, records, waves, detached) => {
                 // The store refuses what a predecessor had still to write.
                 if token != self.token {
                     return;
                 }
                 let mut jobs = Vec::new();
                 for (id, change, progress) in records {
-                    self.kept.insert(id, progress);
+                    self.stored.insert(id, progress);
                     jobs.push((id, change));
                 }
-                self.writing = false;
-                for id in gone {
+                self.write_in_flight = false;
+                for id in detached {
                     self.roster.remove(&id);
                 }
                 self.apply(Event::Recorded { jobs });
                 for (progress, change) in waves {
                     let wave = progress.number;
-                    self.kept_waves.insert(wave, progress);
+                    self.stored_waves.insert(wave, progress);
                     self.apply(Event::WaveRecorded { wave, change });
                 }
             }
-            Delivery::Restored(id) => {
-                self.cut.remove(&id);
+            Delivery::PartitionHealed(id) => {
+                self.partitioned.remove(&id);
                 // The entry of a worker that has nothing new to say is not written again.
-                if self.has_news(&id) {
-                    self.tell_soon(id);
+                if self.has_stale_registration(&id) {
+                    self.schedule_report(id);
                 }
             }
             Delivery::VmOrder(command) => {
-                let _unheard = self.vms.order(&mut self.fleet, &command, self.now);
+                let _result = self.vms.order(&mut self.fleet, &command, self.now);
             }
-            Delivery::Listed(token, asked_at) => {
+            Delivery::VmsListed(token, asked_at) => {
                 let lost = self.is_lost();
                 let listed = self.vms.list();
                 if token == self.token {
@@ -80,33 +80,33 @@
                     self.apply(Event::VmsListed { asked_at, vms });
                 }
             }
-            Delivery::Back(vm, slot) => self.new_life_of(&vm, slot),
-            Delivery::Unlisted(id) => self.unlist(&id),
-            Delivery::EndLife(id) => self.end_life(&id, 5),
-            Delivery::Reborn(model) => self.reborn(&model),
-            Delivery::Room(id, cores) => self.set_room(&id, cores),
-            Delivery::Told(id) => self.tell(&id),
-            Delivery::NewIncarnation => self.new_incarnation(),
-            Delivery::NextScheduler => self.start_scheduler(),
+            Delivery::WorkerBack(vm, slot) => self.start_worker_in_slot(&vm, slot),
+            Delivery::RegistrationExpired(id) => self.unregister(&id),
+            Delivery::IncarnationEnds(id) => self.end_incarnation(&id, 5),
+            Delivery::IncarnationStarts(model) => self.start_next_incarnation(&model),
+            Delivery::CapacityChanges(id, cores) => self.set_capacity(&id, cores),
+            Delivery::WorkerReports(id) => self.report_worker(&id),
+            Delivery::WorkerStarts => self.start_worker_on_new_vm(),
+            Delivery::SchedulerStarts => self.start_scheduler(),
         }
     }
 
-    pub(super) fn later(&mut self, delay_ms: u64, delivery: Delivery) {
+    pub(super) fn schedule(&mut self, delay_ms: u64, delivery: Delivery) {
         self.deliveries.push((self.now.plus(delay_ms), delivery));
     }
 
     pub(super) fn answer(&mut self, delay_ms: u64, event: Event) {
         let token = self.token;
-        self.later(delay_ms, Delivery::Answer(token, event));
+        self.schedule(delay_ms, Delivery::Answer(token, event));
     }
 
     pub(super) fn is_lost(&mut self) -> bool {
-        let share = self.profile.lost;
+        let share = self.profile.lost_per_mille;
         self.chance(share)
     }
 
     pub(super) fn is_late(&mut self) -> bool {
-        let share = self.profile.late;
+        let share = self.profile.late_per_mille;
         self.chance(share)
     }
 }
--- a/crates/sched/tests/schedules/world/faults.rs
+++ b/crates/sched/tests/schedules/simulation/faults.rs
@@ -5,63 +5,63 @@
 
 use super::Delivery;
 use super::FAULTS_UNTIL_MS;
-use super::Trouble;
-use super::World;
+use super::FaultKind;
+use super::Simulation;
 
 /// What becomes of an order that a worker resets.
 #[derive(Debug, Clone, Copy)]
-pub(super) enum Reset {
+pub(super) enum ResetOutcome {
     Lost,
     CarriedOutAfter(u64),
 }
 
-impl World {
-    pub(super) fn strike(&mut self) {
-        while let Some((at, trouble)) = self.faults_at.first().copied() {
+impl Simulation {
+    pub(super) fn inject_faults(&mut self) {
+        while let Some((at, fault)) = self.planned_faults.first().copied() {
             if at > self.now {
                 return;
             }
-            self.faults_at.remove(0);
-            match trouble {
-                Trouble::SchedulerEnds => {
+            self.planned_faults.remove(0);
+            match fault {
+                FaultKind::SchedulerCrash => {
                     self.scheduler = None;
                     let delay_ms = self.rng.random_range(100..2_500);
-                    self.later(delay_ms, Delivery::NextScheduler);
+                    self.schedule(delay_ms, Delivery::SchedulerStarts);
                 }
-                Trouble::Cut => {
+                FaultKind::Partition => {
                     let Some(id) = self.any_worker() else {
                         continue;
                     };
                     let delay_ms = self.rng.random_range(500..9_000);
-                    self.cut.insert(id.clone(), self.now);
-                    self.later(delay_ms, Delivery::Restored(id));
+                    self.partitioned.insert(id.clone(), self.now);
+                    self.schedule(delay_ms, Delivery::PartitionHealed(id));
                 }
-                Trouble::Crash => {
+                FaultKind::WorkerCrash => {
                     let Some(id) = self.any_worker() else {
                         continue;
                     };
                     self.fleet.crash(&id);
-                    if let Some(life) = self.registered.get(&id) {
-                        self.vms.remove(&life.vm);
+                    if let Some(incarnation) = self.registered.get(&id) {
+                        self.vms.remove(&incarnation.vm);
                     }
-                    self.unlist(&id);
+                    self.unregister(&id);
                     let delay_ms = self.rng.random_range(500..4_000);
-                    self.later(delay_ms, Delivery::NewIncarnation);
+                    self.schedule(delay_ms, Delivery::WorkerStarts);
                 }
-                Trouble::Shut => {
+                FaultKind::OrderResets => {
                     let Some(id) = self.any_worker() else {
                         continue;
                     };
                     let until = self.now.plus(self.rng.random_range(500..30_000));
-                    self.shut_until.insert(id, until);
+                    self.resetting_until.insert(id, until);
                 }
-                Trouble::Rebirth => self.strike_rebirths(),
-                Trouble::Room => {
+                FaultKind::WorkerRestart => self.restart_workers(),
+                FaultKind::CapacityChange => {
                     if let Some(id) = self.any_worker() {
-                        self.change_room(&id);
+                        self.reduce_capacity(&id);
                     }
                 }
-                Trouble::StorePauses => {
+                FaultKind::StorePause => {
                     let pause_ms = self.rng.random_range(500..5_000);
                     self.store_paused_until = self.now.plus(pause_ms);
                 }
@@ -70,16 +70,16 @@
     }
 
     /// Says what becomes of an order that a worker resets; none where it resets no orders.
-    pub(super) fn reset(&mut self, id: &WorkerId) -> Option<Reset> {
-        let until = self.shut_until.get(id)?;
+    pub(super) fn reset_outcome(&mut self, id: &WorkerId) -> Option<ResetOutcome> {
+        let until = self.resetting_until.get(id)?;
         if *until <= self.now {
             return None;
         }
         if self.rng.random_ratio(2, 3) {
-            return Some(Reset::Lost);
+            return Some(ResetOutcome::Lost);
         }
         let late_ms = self.rng.random_range(100..8_000);
-        Some(Reset::CarriedOutAfter(late_ms))
+        Some(ResetOutcome::CarriedOutAfter(late_ms))
     }
 
     fn any_worker(&mut self) -> Option<WorkerId> {
