--- a/crates/sched/tests/schedules/world/orders.rs
+++ b/crates/sched/tests/schedules/simulation/orders.rs
@@ -10,14 +10,14 @@
 use syc_cell::ports::VmOrderError;
 use syc_sched::AdviceAnswer;
 use syc_sched::Allowed;
-use syc_sched::Duty;
-use syc_sched::DutyAnswer;
 use syc_sched::Event;
 use syc_sched::Run;
 use syc_sched::StartAnswer;
 use syc_sched::StartOrder;
 use syc_sched::StepId;
 use syc_sched::TaskId;
+use syc_sched::VmOperation;
+use syc_sched::VmOrderAnswer;
 use syc_sched::WorkerKey;
 use syc_types::VmId;
 use syc_types::WorkerId;
@@ -25,11 +25,11 @@
 use super::Delivery;
 use super::LEASE_MS;
 use super::ORDER_TIMEOUT_MS;
+use super::Simulation;
 use super::WORKERS;
-use super::World;
-use super::faults::Reset;
+use super::faults::ResetOutcome;
 
-impl World {
+impl Simulation {
     pub(super) fn send_start(&mut self, order: &StartOrder) {
         let Some(session) = self.sessions.get(&order.worker) else {
             return;
@@ -70,20 +70,20 @@
             checkpoint: order.checkpoint.clone(),
         };
         let in_doubt = started(StartAnswer::InDoubt);
-        if let Some(reset) = self.reset(&id) {
-            if let Reset::CarriedOutAfter(late_ms) = reset {
-                self.later(late_ms, Delivery::Start(id, command));
+        if let Some(reset) = self.reset_outcome(&id) {
+            if let ResetOutcome::CarriedOutAfter(late_ms) = reset {
+                self.schedule(late_ms, Delivery::Start(id, command));
             }
             self.answer(1, in_doubt);
             return;
         }
         if self.is_late() {
             let delay_ms = self.rng.random_range(2_000..12_000);
-            self.later(delay_ms, Delivery::Start(id, command));
+            self.schedule(delay_ms, Delivery::Start(id, command));
             self.answer(ORDER_TIMEOUT_MS, in_doubt);
             return;
         }
-        if self.cut.contains_key(&id) {
+        if self.partitioned.contains_key(&id) {
             self.answer(ORDER_TIMEOUT_MS, in_doubt);
             return;
         }
@@ -135,20 +135,20 @@
             run,
             taken,
         };
-        if let Some(reset) = self.reset(&id) {
-            if let Reset::CarriedOutAfter(late_ms) = reset {
-                self.later(late_ms, Delivery::Stop(id, command));
+        if let Some(reset) = self.reset_outcome(&id) {
+            if let ResetOutcome::CarriedOutAfter(late_ms) = reset {
+                self.schedule(late_ms, Delivery::Stop(id, command));
             }
             self.answer(1, answer(false));
             return;
         }
         if self.is_late() {
             let delay_ms = self.rng.random_range(2_000..12_000);
-            self.later(delay_ms, Delivery::Stop(id, command));
+            self.schedule(delay_ms, Delivery::Stop(id, command));
             self.answer(ORDER_TIMEOUT_MS, answer(false));
             return;
         }
-        if self.cut.contains_key(&id) {
+        if self.partitioned.contains_key(&id) {
             self.answer(ORDER_TIMEOUT_MS, answer(false));
             return;
         }
@@ -158,12 +158,12 @@
         self.answer(delay_ms, answer(taken));
     }
 
-    pub(super) fn send_pace(&mut self, worker: WorkerKey, name: (TaskId, Run), percent: u8) {
+    pub(super) fn send_pace(&mut self, worker: WorkerKey, task_run: (TaskId, Run), percent: u8) {
         let Some(session) = self.sessions.get(&worker) else {
             return;
         };
         let id = WorkerId::new(session.id.name());
-        let (task, run) = name;
+        let (task, run) = task_run;
         let command = PaceCommand {
             task,
             run,
@@ -177,30 +177,31 @@
             percent,
             taken,
         };
-        if let Some(reset) = self.reset(&id) {
-            if let Reset::CarriedOutAfter(late_ms) = reset {
-                self.later(late_ms, Delivery::Pace(id, command));
+        if let Some(reset) = self.reset_outcome(&id) {
+            if let ResetOutcome::CarriedOutAfter(late_ms) = reset {
+                self.schedule(late_ms, Delivery::Pace(id, command));
             }
             self.answer(1, answer(false));
             return;
         }
         if self.is_late() {
             let delay_ms = self.rng.random_range(2_000..12_000);
-            self.later(delay_ms, Delivery::Pace(id, command));
+            self.schedule(delay_ms, Delivery::Pace(id, command));
             self.answer(ORDER_TIMEOUT_MS, answer(false));
             return;
         }
-        if self.cut.contains_key(&id) {
+        if self.partitioned.contains_key(&id) {
             self.answer(ORDER_TIMEOUT_MS, answer(false));
             return;
         }
-        let carried_out = self.profile.unpaced || self.fleet.pace(&id, &command, self.now).is_ok();
+        let carried_out =
+            self.profile.ignores_pace || self.fleet.pace(&id, &command, self.now).is_ok();
         let taken = carried_out && !self.is_lost();
         let delay_ms = self.rng.random_range(1..30);
         self.answer(delay_ms, answer(taken));
     }
 
-    pub(super) fn send_vm_order(&mut self, vm: VmId, duty: Duty) {
+    pub(super) fn send_vm_order(&mut self, vm: VmId, duty: VmOperation) {
         let command = VmCommand {
             vm: vm.clone(),
             duty: duty.clone(),
@@ -210,17 +211,17 @@
         let answered = |answer| Event::VmOrderAnswered { vm, duty, answer };
         if self.is_late() {
             let delay_ms = self.rng.random_range(2_000..12_000);
-            self.later(delay_ms, Delivery::VmOrder(command));
-            self.answer(ORDER_TIMEOUT_MS, answered(DutyAnswer::InDoubt));
+            self.schedule(delay_ms, Delivery::VmOrder(command));
+            self.answer(ORDER_TIMEOUT_MS, answered(VmOrderAnswer::InDoubt));
             return;
         }
         let outcome = self.vms.order(&mut self.fleet, &command, self.now);
         let answer = match outcome {
-            _ if self.is_lost() => DutyAnswer::InDoubt,
-            Ok(()) => DutyAnswer::Done,
-            Err(VmOrderError::Busy) => DutyAnswer::Busy,
-            Err(VmOrderError::Unfit(_)) => DutyAnswer::Unfit,
-            Err(VmOrderError::Fenced | VmOrderError::InDoubt(_)) => DutyAnswer::InDoubt,
+            _ if self.is_lost() => VmOrderAnswer::InDoubt,
+            Ok(()) => VmOrderAnswer::Done,
+            Err(VmOrderError::Busy) => VmOrderAnswer::Busy,
+            Err(VmOrderError::Unfit(_)) => VmOrderAnswer::Unfit,
+            Err(VmOrderError::Fenced | VmOrderError::InDoubt(_)) => VmOrderAnswer::InDoubt,
         };
         let delay_ms = self.rng.random_range(1..30);
         self.answer(delay_ms, answered(answer));
@@ -233,10 +234,11 @@
                 continue;
             };
             // Of five lives in a row, one may not run a step; a gang needs two that may.
-            let life = self.registered.get(&WorkerId::new(session.id.name()));
-            let incarnation = life.map_or(0, |life| life.slot + life.rebirths % 2);
+            let incarnation = self.registered.get(&WorkerId::new(session.id.name()));
+            let advice_slot =
+                incarnation.map_or(0, |incarnation| incarnation.slot + incarnation.restarts % 2);
             let denied = (step.job.0 + u64::from(step.step)) % WORKERS;
-            if incarnation % WORKERS != denied {
+            if advice_slot % WORKERS != denied {
                 allowed.push(Allowed {
                     worker: *worker,
                     ticket: format_smolstr!("{step}"),
--- a/crates/sched/tests/schedules/world/sessions.rs
+++ b/crates/sched/tests/schedules/simulation/renewals.rs
@@ -9,10 +9,10 @@
 
 use super::Delivery;
 use super::LEASE_MS;
-use super::RENEW_MS;
-use super::World;
+use super::RENEWAL_INTERVAL_MS;
+use super::Simulation;
 
-impl World {
+impl Simulation {
     pub(super) fn renew(&mut self) {
         let due: Vec<_> = self
             .sessions
@@ -29,7 +29,7 @@
         let Some(session) = self.sessions.get_mut(&key) else {
             return;
         };
-        session.renew_at = self.now.plus(RENEW_MS);
+        session.renew_at = self.now.plus(RENEWAL_INTERVAL_MS);
         let may_renew = self.scheduler.as_ref();
         let may_renew = may_renew.is_none_or(|scheduler| scheduler.may_renew(key));
         let extends = session.clock_read && !session.failed && may_renew;
@@ -57,7 +57,7 @@
             wait_ms: 0,
             token: self.token,
         };
-        if self.cut.contains_key(&name) {
+        if self.partitioned.contains_key(&name) {
             self.renewal_failed(key);
             return;
         }
@@ -93,7 +93,7 @@
     }
 
     pub(super) fn write(&mut self) {
-        if self.writing || self.now < self.store_paused_until {
+        if self.write_in_flight || self.now < self.store_paused_until {
             return;
         }
         let Some(scheduler) = &mut self.scheduler else {
@@ -101,13 +101,16 @@
         };
         let records = scheduler.take_records(50, self.now, TimeOfDay(1));
         let waves = scheduler.wave_records();
-        let gone = std::mem::take(&mut self.gone);
-        if records.is_empty() && waves.is_empty() && gone.is_empty() {
+        let detached = std::mem::take(&mut self.detached);
+        if records.is_empty() && waves.is_empty() && detached.is_empty() {
             return;
         }
-        self.writing = true;
+        self.write_in_flight = true;
         let token = self.token;
         let delay_ms = self.rng.random_range(5..40);
-        self.later(delay_ms, Delivery::Recorded(token, records, waves, gone));
+        self.schedule(
+            delay_ms,
+            Delivery::Recorded(token, records, waves, detached),
+        );
     }
 }
--- a/crates/sched/tests/schedules/world/rebirths.rs
+++ b/crates/sched/tests/schedules/simulation/restarts.rs
@@ -5,14 +5,14 @@
 use syc_types::WorkerId;
 
 use super::Delivery;
-use super::World;
+use super::Simulation;
 
 /// Of so many times, one has all workers start again together.
 const ALL_OF: u32 = 5;
 
-impl World {
+impl Simulation {
     /// Lets a worker, or all of them, end and start again: at once, after some time, or after their leases.
-    pub(super) fn strike_rebirths(&mut self) {
+    pub(super) fn restart_workers(&mut self) {
         let mut ids: Vec<_> = self.registered.keys().cloned().collect();
         if !self.rng.random_ratio(1, ALL_OF) {
             let one = self.rng.random_range(0..ids.len().max(1));
@@ -26,33 +26,33 @@
         };
         let is_twice = self.rng.random_ratio(1, 4);
         for id in ids {
-            self.end_life(&id, down_ms);
+            self.end_incarnation(&id, down_ms);
             if is_twice {
                 let again_ms = self.rng.random_range(1..400);
-                self.later(down_ms + again_ms, Delivery::EndLife(id));
+                self.schedule(down_ms + again_ms, Delivery::IncarnationEnds(id));
             }
         }
     }
 
     /// Ends a life of a worker; the next one begins after so long.
-    pub(super) fn end_life(&mut self, id: &WorkerId, down_ms: u64) {
+    pub(super) fn end_incarnation(&mut self, id: &WorkerId, down_ms: u64) {
         let Some(model) = self.fleet.workers.get(id).cloned() else {
             return;
         };
         self.fleet.crash(id);
-        self.break_renewals(id);
+        self.fail_renewals_in_flight(id);
         // What it had still to carry out ends with it.
         self.deliveries.retain(|(_, delivery)| match delivery {
             Delivery::Start(to, _) | Delivery::Stop(to, _) | Delivery::Pace(to, _) => to != id,
             _ => true,
         });
         self.down_until.insert(id.clone(), self.now.plus(down_ms));
-        self.later(down_ms, Delivery::Reborn(model));
+        self.schedule(down_ms, Delivery::IncarnationStarts(model));
     }
 
     /// A renewal is under way at a worker nearly all the time: it waits there for an end, and fails with the worker.
-    fn break_renewals(&mut self, id: &WorkerId) {
-        if self.cut.contains_key(id) {
+    fn fail_renewals_in_flight(&mut self, id: &WorkerId) {
+        if self.partitioned.contains_key(id) {
             return;
         }
         let sessions = self.sessions.iter();
@@ -63,15 +63,15 @@
     }
 
     /// The next life of a worker begins, and tells of itself within a heartbeat.
-    pub(super) fn reborn(&mut self, ended: &WorkerModel) {
+    pub(super) fn start_next_incarnation(&mut self, ended: &WorkerModel) {
         // Only one next life follows, however often the one before was ended.
         if self.fleet.workers.contains_key(&ended.id) || !self.registered.contains_key(&ended.id) {
             return;
         }
         self.fleet.add(ended.next_life(self.now));
-        if let Some(life) = self.registered.get_mut(&ended.id) {
-            life.rebirths += 1;
+        if let Some(incarnation) = self.registered.get_mut(&ended.id) {
+            incarnation.restarts += 1;
         }
-        self.tell_soon(ended.id.clone());
+        self.schedule_report(ended.id.clone());
     }
 }
--- /dev/null
+++ b/crates/sched/tests/schedules/simulation/workers.rs
@@ -0,0 +1,151 @@
+//! Workers that tasks take down, and rooms that shrink and grow while they run.
+
+use rand::Rng;
+use syc_sched::Event;
+use syc_sched::WorkerSpec;
+use syc_types::WorkerId;
+
+use super::CORES;
+use super::Delivery;
+use super::Simulation;
+use super::incarnation_id;
+use super::spec_of;
+use crate::jobs::cpu;
+
+/// Time from one word of a worker about itself to the next.
+pub(super) const HEARTBEAT_MS: u64 = 1_500;
+
+/// Heartbeats after which the registration of a worker lapses that tells nothing.
+const HEARTBEATS_MISSED: u64 = 3;
+
+/// Workers are held to a room that shrank after this time, and one more heartbeat.
+const ROOM_GRACE_MS: u64 = 3_000;
+
+impl Simulation {
+    /// Lets the workers that tasks have taken down come back on their VMs.
+    pub(super) fn schedule_crash_recoveries(&mut self) {
+        for id in self.fleet.take_crashed() {
+            let Some(incarnation) = self.registered.get(&id) else {
+                continue;
+            };
+            if self.crashes_reported_as_draining {
+                let leaving = WorkerSpec {
+                    draining: true,
+                    ..spec_of(&id, incarnation)
+                };
+                self.apply(Event::WorkerListed(leaving));
+            }
+            let Some(incarnation) = self.registered.get(&id) else {
+                continue;
+            };
+            let back = Delivery::WorkerBack(incarnation.vm.clone(), incarnation.slot);
+            let back_ms = self.rng.random_range(1_000..5_000);
+            self.down_until.insert(id.clone(), self.now.plus(back_ms));
+            self.schedule(back_ms, back);
+            let silent_ms = self.rng.random_range(HEARTBEAT_MS..HEARTBEAT_MS * 3);
+            self.schedule(silent_ms, Delivery::RegistrationExpired(id));
+        }
+    }
+
+    /// Says whether nothing is at a worker's address yet.
+    pub(super) fn is_down(&self, id: &WorkerId) -> bool {
+        self.down_until
+            .get(id)
+            .is_some_and(|until| self.now < *until)
+    }
+
+    pub(super) fn unregister(&mut self, id: &WorkerId) {
+        if let Some(incarnation) = self.registered.remove(id) {
+            self.apply(Event::WorkerUnlisted(incarnation_id(id, &incarnation)));
+        }
+    }
+
+    /// Gives a worker another room, for a while.
+    pub(super) fn reduce_capacity(&mut self, id: &WorkerId) {
+        let cores = self.rng.random_range(1..CORES);
+        self.set_capacity(id, cores);
+        let small_ms = self.rng.random_range(500..12_000);
+        self.schedule(small_ms, Delivery::CapacityChanges(id.clone(), CORES));
+    }
+
+    /// Gives a worker another room, of which it tells with its next heartbeat.
+    pub(super) fn set_capacity(&mut self, id: &WorkerId, cores: u64) {
+        let counts_until = self.now.plus(ROOM_GRACE_MS + HEARTBEAT_MS);
+        self.fleet.resize(id, cpu(cores), counts_until);
+        let now = self.now;
+        if let Some(incarnation) = self.registered.get_mut(id) {
+            incarnation.cores = cores;
+            incarnation.unreported_since.get_or_insert(now);
+        }
+        self.schedule_report(id.clone());
+    }
+
+    /// Lets the registrations lapse of workers that have told nothing for three heartbeats, at the latest that may be:
+    /// had one told anything since its room changed, it would have told that.
+    pub(super) fn expire_registrations(&mut self) {
+        if self.profile.capacity_changes == 0 {
+            return;
+        }
+        let mut expired = Vec::new();
+        for (id, partitioned_at) in &self.partitioned {
+            let Some(incarnation) = self.registered.get_mut(id) else {
+                continue;
+            };
+            let reported_at = incarnation
+                .unreported_since
+                .unwrap_or(*partitioned_at)
+                .min(*partitioned_at);
+            if incarnation.expired
+                || self.now.since(reported_at) <= HEARTBEATS_MISSED * HEARTBEAT_MS
+            {
+                continue;
+            }
+            incarnation.expired = true;
+            expired.push(incarnation_id(id, incarnation));
+        }
+        for id in expired {
+            self.apply(Event::WorkerUnlisted(id));
+        }
+    }
+
+    /// Says whether a worker has something to tell that its registration does not say.
+    pub(super) fn has_stale_registration(&self, id: &WorkerId) -> bool {
+        let Some(incarnation) = self.registered.get(id) else {
+            return false;
+        };
+        let model = self.fleet.workers.get(id);
+        let is_restarted =
+            model.is_some_and(|model| model.started_at != incarnation.reported_started_at);
+        is_restarted || incarnation.expired || incarnation.cores != incarnation.reported_cores
+    }
+
+    /// Lets a worker tell of itself within a heartbeat.
+    pub(super) fn schedule_report(&mut self, id: WorkerId) {
+        let delay_ms = self.rng.random_range(0..HEARTBEAT_MS);
+        self.schedule(delay_ms, Delivery::WorkerReports(id));
+    }
+
+    /// A worker says what it has; one that is cut off does so once it is not.
+    pub(super) fn report_worker(&mut self, id: &WorkerId) {
+        if self.partitioned.contains_key(id) {
+            return;
+        }
+        let Some(incarnation) = self.registered.get_mut(id) else {
+            return;
+        };
+        let before = incarnation_id(id, incarnation);
+        incarnation.reported_cores = incarnation.cores;
+        incarnation.unreported_since = None;
+        incarnation.expired = false;
+        if let Some(model) = self.fleet.workers.get(id) {
+            incarnation.reported_started_at = model.started_at;
+        }
+        let incarnation = incarnation.clone();
+        let spec = spec_of(id, &incarnation);
+        if spec.id != before {
+            self.roster.insert(spec.id.clone(), incarnation);
+            self.apply(Event::WorkerUnlisted(before));
+        }
+        self.apply(Event::WorkerListed(spec));
+    }
+}
--- a/crates/sched/tests/takeovers/side.rs
+++ b/crates/sched/tests/takeovers/side.rs
@@ -44,7 +44,7 @@
 impl Side {
     pub fn new() -> Self {
         let options = Options {
-            job_authority_ms: JOB_AUTHORITY_MS,
+            proof_validity_ms: JOB_AUTHORITY_MS,
             ..Options::default()
         };
         let mut scheduler = Scheduler::new(options);
--- a/crates/sched/tests/takeovers/world.rs
+++ b/crates/sched/tests/takeovers/world.rs
@@ -213,10 +213,10 @@
         }
         world.predecessor.scheduler.begin_recovery(world.now);
         if rule == Rule::Proves {
-            world.predecessor.scheduler.require_proof();
-            world.successor.scheduler.require_proof();
+            world.predecessor.scheduler.require_leadership_proof();
+            world.successor.scheduler.require_leadership_proof();
             let successor = &mut world.successor.scheduler;
-            successor.set_predecessors_prove(true);
+            successor.set_predecessors_require_proof(true);
         }
         world
     }
@@ -258,7 +258,7 @@
                 self.take_over(read_after == TAKEOVER);
             }
             if slot >= TAKEOVER {
-                self.successor.authority.note_taken(self.now);
+                self.successor.authority.note_append(self.now);
                 // All that was stored before the job may have been read by then, but no more.
                 let read_at = Millis(slot.min(read_before) * SLOT_MS);
                 self.successor.scheduler.set_jobs_read(read_at);
@@ -272,7 +272,7 @@
                 self.record(2);
                 if self.rule == Rule::Proves {
                     let scheduler = &mut self.successor.scheduler;
-                    scheduler.set_proof(scheduler.jobs_added(), self.now);
+                    scheduler.record_leadership_proof(scheduler.jobs_added(), self.now);
                 }
             }
             seen.insert(self.digest());
@@ -311,7 +311,7 @@
         let is_taken = slot <= TAKEOVER;
         if is_taken {
             // What was sent at the last moment: a successor refuses it from then on.
-            self.predecessor.authority.note_taken(self.now);
+            self.predecessor.authority.note_append(self.now);
         }
         if self.rule == Rule::Waits {
             return;
@@ -319,7 +319,7 @@
         if is_taken {
             let scheduler = &mut self.predecessor.scheduler;
             let sent_at = Millis(self.now.0 - SLOT_MS);
-            scheduler.set_proof(self.sent_with, sent_at);
+            scheduler.record_leadership_proof(self.sent_with, sent_at);
         }
         self.sent_with = self.predecessor.scheduler.jobs_added();
     }
@@ -540,7 +540,7 @@
         let from = match self.leases {
             Leases::FromSending => Some(now),
             Leases::OfOneThatGoesOn | Leases::FromEvidence => {
-                self.side(token).authority.lease_from(decided_at, now)
+                self.side(token).authority.lease_start(decided_at, now)
             }
         };
         from.map(|from| from.0 + LEASE_MS)
