--- a/crates/sched/src/placement.rs
+++ b/crates/sched/src/placement.rs
@@ -39,7 +39,7 @@
     }
 
     fn place_tasks(&mut self, job: JobKey, step: usize, now: Millis) {
-        let allowed = self.allowed_now(job, step, now);
+        let allowed = self.currently_allowed_workers(job, step, now);
         let mut preemptions = 0;
         let startable = self.startable_units(job, step);
         for unit in 0..self.jobs[job].steps[step].units.len() {
@@ -79,14 +79,14 @@
             }
         }
         if self.jobs[job].steps[step].pending > 0 {
-            self.ask_for_tasks(job, step, now);
+            self.request_task_advice(job, step, now);
         }
     }
 
     /// Says whether a worker takes in no more before its next answer, which comes within moments.
     fn is_awaiting_answer(&self, key: WorkerKey) -> bool {
         let worker = &self.workers[key];
-        !worker.may_take_start() && worker.contact.is_sound()
+        !worker.may_take_start() && worker.contact.is_healthy()
     }
 
     /// Picks the worker that a task fits best, of those on which it fits and that take in more.
@@ -109,10 +109,10 @@
         }
         if spec.fills {
             candidates.retain(may_take_start);
-            return self.pick_to_fill(job, step, &candidates, now);
+            return self.pick_backfill_worker(job, step, &candidates, now);
         }
-        if candidates.iter().any(|key| !self.awaits_upkeep(*key)) {
-            candidates.retain(|key| !self.awaits_upkeep(*key));
+        if candidates.iter().any(|key| !self.awaits_maintenance(*key)) {
+            candidates.retain(|key| !self.awaits_maintenance(*key));
         }
         candidates.retain(may_take_start);
         let need = spec.room();
@@ -171,7 +171,7 @@
     ) -> &[WorkerKey] {
         let of_step = &self.jobs[job].steps[step];
         let waited_ms = now.since(of_step.ready_at.unwrap_or(now));
-        if waited_ms > self.options.avoid_ms {
+        if waited_ms > self.options.avoid_failed_workers_ms {
             return &[];
         }
         &of_step.units[unit].avoid
@@ -260,7 +260,7 @@
             worker.reserved_suspects += u32::from(suspected);
             worker.reserved_isolations += u32::from(isolated);
         }
-        let until = now.plus(self.options.reservation_ms);
+        let until = now.plus(self.options.reservation_limit_ms);
         let unit = &mut self.jobs[job].steps[step].units[unit];
         unit.reservation = Some(Reservation {
             workers,
@@ -334,7 +334,7 @@
         let fits = is_clear && need.fits_in(&self.workers[worker].free());
         if fits && self.is_below_task_limit(worker, job, step, unit) {
             if !self.has_ticket(job, step, worker, now) {
-                self.ask_again(job, step, &[worker], now);
+                self.renew_tickets(job, step, &[worker], now);
             } else if self.ensure_announced(Place { job, step, unit }) {
                 self.drop_reservation(job, step, unit);
                 self.start_unit(job, step, unit, &[worker], now);
@@ -407,7 +407,7 @@
             let task = self.jobs[job_key].steps[step_index].task_at(id, unit_index, member);
             self.start_member(job_key, step_index, *worker, task, run, now);
         }
-        self.changed(job_key);
+        self.mark_changed(job_key);
     }
 
     fn start_member(
@@ -435,7 +435,7 @@
         };
         self.headroom.consume(held.resources.cpu_millis);
         self.workers[worker].insert(task, run, held);
-        self.order_start(worker, task, run, ticket, 0, now);
+        self.send_start(worker, task, run, ticket, 0, now);
     }
 }
 
--- a/crates/sched/src/slowness.rs
+++ b/crates/sched/src/slowness.rs
@@ -161,7 +161,7 @@
             let Some(total_ms) = held.total_ms(now) else {
                 continue;
             };
-            let Some((job, step, unit, _member)) = self.locate(*task) else {
+            let Some((job, step, unit, _member)) = self.locate_task(*task) else {
                 continue;
             };
             let left_percent = u64::from(100 - held.percent.min(100));
@@ -230,7 +230,7 @@
     /// Stops what would end sooner elsewhere, as far as there is room.
     fn move_off_slow(&mut self, key: WorkerKey, projections: &[RunProjection], now: Millis) {
         for projection in projections {
-            let cost_ms = self.elsewhere_ms(projection) + self.options.stop_ms + MOVE_COST_MS;
+            let cost_ms = self.elsewhere_ms(projection) + self.options.max_stop_ms + MOVE_COST_MS;
             if projection.left_ms() * 100 > cost_ms * MIN_MOVE_GAIN_PERCENT
                 && self.try_take_move(projection.place, key, now)
             {
@@ -254,7 +254,7 @@
         let of_step = &self.jobs[job].steps[step];
         let need = of_step.spec.room();
         let label = of_step.spec.required_label.as_ref();
-        let eligible = self.eligible(label, &self.jobs[job], now);
+        let eligible = self.eligible_workers(label, &self.jobs[job], now);
         let mut others = eligible.into_iter().filter(|key| *key != from);
         let has_room = others.any(|key| fit_count(&self.workers[key].available(), &need, 1) == 1);
         let unit = self.unit_mut(place);
--- a/crates/sched/tests/core/pools.rs
+++ b/crates/sched/tests/core/pools.rs
@@ -1,10 +1,10 @@
 //! Pools on standby, by hand.
 
-use syc_sched::Duty;
-use syc_sched::DutyAnswer;
 use syc_sched::Event;
 use syc_sched::RunEnd;
 use syc_sched::VmInfo;
+use syc_sched::VmOperation;
+use syc_sched::VmOrderAnswer;
 use syc_sched::VmState;
 use syc_sched::WorkerSpec;
 use syc_types::ServiceName;
@@ -64,16 +64,16 @@
 fn take_moves(driver: &mut Driver) -> Vec<(VmId, ServiceName)> {
     let orders = std::mem::take(&mut driver.vm_orders);
     let moves = orders.into_iter().filter_map(|(vm, duty)| match duty {
-        Duty::Move { pool } => Some((vm, pool)),
-        Duty::Upkeep { .. } => None,
+        VmOperation::Move { pool } => Some((vm, pool)),
+        VmOperation::Maintenance { .. } => None,
     });
     moves.collect()
 }
 
-fn answer_move(driver: &mut Driver, vm: VmId, to: &str, answer: DutyAnswer) {
+fn answer_move(driver: &mut Driver, vm: VmId, to: &str, answer: VmOrderAnswer) {
     driver.apply(Event::VmOrderAnswered {
         vm,
-        duty: Duty::Move { pool: pool(to) },
+        duty: VmOperation::Move { pool: pool(to) },
         answer,
     });
 }
@@ -102,7 +102,7 @@
     driver.submit(1, policy(0), vec![step(12, 1)]);
     run_for(&mut driver, IN_SERVICE, 6_000);
     assert_eq!(take_moves(&mut driver), [(vm(2), pool(SERVICE))]);
-    answer_move(&mut driver, vm(2), SERVICE, DutyAnswer::Done);
+    answer_move(&mut driver, vm(2), SERVICE, VmOrderAnswer::Done);
     run_for(&mut driver, IN_SERVICE, 1_000);
     assert_eq!(take_moves(&mut driver), [], "it is on its way");
 }
@@ -113,7 +113,7 @@
     driver.submit(1, policy(0), vec![step(12, 1)]);
     run_for(&mut driver, IN_SERVICE, 6_000);
     take_moves(&mut driver);
-    answer_move(&mut driver, vm(2), SERVICE, DutyAnswer::Unfit);
+    answer_move(&mut driver, vm(2), SERVICE, VmOrderAnswer::Unfit);
     run_for(&mut driver, IN_SERVICE, 2_000);
     assert_eq!(take_moves(&mut driver), [(vm(3), pool(SERVICE))]);
 }
@@ -140,7 +140,7 @@
     driver.submit(1, policy(0), vec![step(12, 1)]);
     run_for(&mut driver, IN_SERVICE, 6_000);
     take_moves(&mut driver);
-    answer_move(&mut driver, vm(2), SERVICE, DutyAnswer::InDoubt);
+    answer_move(&mut driver, vm(2), SERVICE, VmOrderAnswer::InDoubt);
     run_for(&mut driver, IN_SERVICE, 1_000);
     assert_eq!(take_moves(&mut driver), [(vm(2), pool(SERVICE))]);
 }
@@ -151,7 +151,7 @@
     driver.submit(1, policy(0), vec![step(12, 1)]);
     run_for(&mut driver, IN_SERVICE, 6_000);
     take_moves(&mut driver);
-    answer_move(&mut driver, vm(2), SERVICE, DutyAnswer::Done);
+    answer_move(&mut driver, vm(2), SERVICE, VmOrderAnswer::Done);
     driver.apply(Event::WorkerListed(WorkerSpec {
         id: WorkerId::new("w-2"),
         ..worker(2, 4)
--- a/crates/sched/tests/core/restarts.rs
+++ b/crates/sched/tests/core/restarts.rs
@@ -171,7 +171,7 @@
     driver.apply(Event::WorkerListed(other));
     let other = driver.workers[driver.workers.len() - 1];
     driver.hold(other, &[]);
-    let longest_ms = driver.scheduler.options().longest_lease_ms;
+    let longest_ms = driver.scheduler.options().max_lease_ms;
     driver.pass(longest_ms - 100);
     driver.apply(Event::Ticked);
     assert!(driver.settle().is_empty());
--- a/crates/sched/tests/core/silence.rs
+++ b/crates/sched/tests/core/silence.rs
@@ -78,8 +78,8 @@
         run: first.run,
         answer: StartAnswer::InDoubt,
     };
-    for _ in 0..Options::default().start_orders_limit {
-        driver.pass(Options::default().repeat_limit_ms);
+    for _ in 0..Options::default().start_attempts_limit {
+        driver.pass(Options::default().max_retry_delay_ms);
         driver.apply(doubt.clone());
         driver.apply(Event::Ticked);
     }
--- a/crates/sched/tests/core/stale_capacity.rs
+++ b/crates/sched/tests/core/stale_capacity.rs
@@ -117,7 +117,7 @@
     let (mut driver, worker) = driver_after_long_silence();
     let answered_at = driver.now;
     driver.submit(1, policy(0), vec![step(1, 4)]);
-    let told_within_ms = Options::default().told_within_ms;
+    let told_within_ms = Options::default().capacity_report_deadline_ms;
     while driver.now < answered_at.plus(told_within_ms) {
         driver.read_workers();
         assert!(driver.settle().is_empty(), "it may have told nothing since");
@@ -133,7 +133,7 @@
 fn time_without_registration_reads_does_not_confirm_capacity() {
     let (mut driver, worker) = driver_after_long_silence();
     driver.submit(1, policy(0), vec![step(1, 4)]);
-    let told_within_ms = Options::default().told_within_ms;
+    let told_within_ms = Options::default().capacity_report_deadline_ms;
     driver.pass(told_within_ms);
     driver.read_workers();
     assert!(driver.settle().is_empty());
--- a/crates/sched/tests/core/unanswered_orders.rs
+++ b/crates/sched/tests/core/unanswered_orders.rs
@@ -22,7 +22,7 @@
 /// Longest time that a task may wait for a worker that takes no order, beside its own run and its next start.
 fn max_doubt_ms() -> u64 {
     let options = Options::default();
-    options.doubt_limit_ms + options.lease_bound_ms
+    options.in_doubt_limit_ms + options.lease_bound_ms
 }
 
 /// Three workers, the first of which resets each order for so long from the first one on; some jobs come.
@@ -188,7 +188,7 @@
 #[test_case(2, 2; "both may be missing")]
 fn leases_are_let_lapse_only_within_the_unavailable_limit(limit: u32, expected: usize) {
     let (mut driver, serving) = workers_with_unanswered_starts(limit);
-    let limit_ms = Options::default().doubt_limit_ms;
+    let limit_ms = Options::default().in_doubt_limit_ms;
     pass_ignoring_orders(&mut driver, &serving, 2 * limit_ms);
     assert_eq!(count_lapsing(&driver), expected);
 }
--- a/crates/sched/tests/overload/replay.rs
+++ b/crates/sched/tests/overload/replay.rs
@@ -22,7 +22,7 @@
 use syc_fleet::WorkerModel;
 use syc_sched::Action;
 use syc_sched::AdviceAnswer;
-use syc_sched::Advisers;
+use syc_sched::AdviceNodes;
 use syc_sched::Allowed;
 use syc_sched::CallLength;
 use syc_sched::Event;
@@ -93,7 +93,7 @@
     now: Millis,
     fleet: FleetModel,
     scheduler: Scheduler,
-    advisers: Advisers,
+    advisers: AdviceNodes,
     advice: AdviceModel,
     sessions: BTreeMap<WorkerKey, (WorkerId, Millis)>,
     stop_sent: BTreeSet<WorkerKey>,
@@ -128,7 +128,7 @@
             now,
             fleet: FleetModel::default(),
             scheduler: Scheduler::new(Options::default()),
-            advisers: Advisers::with_own(SmolStr::new_static("node-00"), now),
+            advisers: AdviceNodes::with_local(SmolStr::new_static("node-00"), now),
             advice: AdviceModel::default(),
             sessions: BTreeMap::new(),
             stop_sent: BTreeSet::new(),
@@ -193,7 +193,7 @@
             .map_or(0, |disruption| disruption.absent_advisers);
         for number in 1..self.setup.advisers - away {
             self.advisers
-                .meet(&format_smolstr!("node-{number:02}"), self.now);
+                .note_heartbeat(&format_smolstr!("node-{number:02}"), self.now);
         }
     }
 
@@ -289,7 +289,7 @@
                     length,
                     asked,
                 } => {
-                    self.advisers.give_back(&adviser, length, true, self.now);
+                    self.advisers.release(&adviser, length, true, self.now);
                     self.advised(step, asked);
                 }
             }
@@ -437,7 +437,7 @@
         let policy = self.setup.kinds[kind].advice;
         let expected_ms = policy.call_ms(workers.len());
         let length = Options::default().length_of_call(expected_ms);
-        let Some(adviser) = self.advisers.take(length, self.now) else {
+        let Some(adviser) = self.advisers.acquire(length, self.now) else {
             let answer = AdviceAnswer::Failed;
             let event = Event::Advised {
                 step,
