--- a/crates/cell/src/leader.rs
+++ b/crates/cell/src/leader.rs
@@ -147,7 +147,7 @@
         let options = options(node);
         let mut scheduler = Scheduler::new(options);
         scheduler.set_jobs_read(Millis(0));
-        scheduler.set_chosen(now());
+        scheduler.set_elected_at(now());
         scheduler.require_proof();
         scheduler.set_predecessors_prove(predecessors_prove);
         let leader = Rc::new(Self {
@@ -292,14 +292,14 @@
                     run,
                     percent,
                 } => self.order_pace(worker, task, run, percent),
-                Action::Ask {
+                Action::RequestAdvice {
                     step,
                     workers,
                     expected_ms,
                 } => self.ask(step, workers, expected_ms),
                 Action::ListVms { asked_at } => self.list_vms(asked_at),
                 Action::OrderVm { vm, duty } => self.order_vm(vm, duty),
-                Action::TellWave { wave, completed } => self.tell_wave(wave, completed),
+                Action::ReportWave { wave, completed } => self.tell_wave(wave, completed),
                 Action::DropSpec(id) => self.drops.borrow_mut().push(id),
                 Action::Forget(id) => self.forgets.borrow_mut().push(id),
                 Action::Note(note) => {
--- a/crates/cell/src/leader/advice.rs
+++ b/crates/cell/src/leader/advice.rs
@@ -7,7 +7,7 @@
 use syc_net::PeerClient;
 use syc_obs::Stage;
 use syc_sched::AdviceAnswer;
-use syc_sched::Allowed;
+use syc_sched::AllowedWorker;
 use syc_sched::CallLength;
 use syc_sched::Event;
 use syc_sched::StepId;
@@ -145,7 +145,7 @@
             let Some((key, _)) = key else {
                 continue;
             };
-            allowed.push(Allowed {
+            allowed.push(AllowedWorker {
                 worker: key,
                 ticket,
             });
--- a/crates/cell/src/leader/load.rs
+++ b/crates/cell/src/leader/load.rs
@@ -323,7 +323,7 @@
     let mut scheduler = leader.scheduler.borrow_mut();
     let now = now();
     let ended: Vec<_> = progress.iter().filter_map(ended_job).collect();
-    scheduler.restore_ended(&ended, now);
+    scheduler.restore_ended_jobs(&ended, now);
     // Which job waits longest is all that counts: no clock of this node is asked.
     let newest = specs.iter().map(|spec| spec.accepted_at_ms).max();
     let newest = newest.unwrap_or_default();
--- a/crates/cell/src/leader/orders.rs
+++ b/crates/cell/src/leader/orders.rs
@@ -142,7 +142,7 @@
     fn is_settled_by(self: &Rc<Self>, worker: WorkerKey, error: &OrderError) -> bool {
         match error {
             OrderError::Replaced => self.apply(Event::Replaced { worker }),
-            OrderError::Reborn => self.apply(Event::Reborn { worker }),
+            OrderError::Reborn => self.apply(Event::Restarted { worker }),
             OrderError::Fenced => self.end("fenced_by_worker"),
             OrderError::Refused(_)
             | OrderError::NotSent(_)
--- a/crates/cell/src/leader/sessions.rs
+++ b/crates/cell/src/leader/sessions.rs
@@ -201,7 +201,7 @@
                 return;
             }
             Err(OrderError::Reborn) => {
-                leader.apply(Event::Reborn { worker });
+                leader.apply(Event::Restarted { worker });
                 return;
             }
             Err(OrderError::Fenced) => {
--- a/crates/cell/src/log.rs
+++ b/crates/cell/src/log.rs
@@ -356,16 +356,16 @@
             worker,
             crashes,
             alone,
-            there_ms,
+            present_ms,
         } => Line::new(catalogue::TASK_BLAMED)
             .display("job", task.step.job)
             .display("task", task)
             .text("worker", worker.as_str())
             .number("crashes", *crashes)
             .flag("alone", *alone)
-            .number("there_ms", *there_ms)
+            .number("there_ms", *present_ms)
             .emit(),
-        Note::TaskGivenUp { task, crashes } => Line::new(catalogue::TASK_GIVEN_UP)
+        Note::TaskAbandoned { task, crashes } => Line::new(catalogue::TASK_GIVEN_UP)
             .display("job", task.step.job)
             .display("task", task)
             .number("crashes", *crashes)
--- a/crates/cell/src/log/workers.rs
+++ b/crates/cell/src/log/workers.rs
@@ -8,8 +8,8 @@
 /// Writes what the scheduler noted of a worker.
 pub(super) fn note(worker: &WorkerId, note: &WorkerNote) {
     let line = match note {
-        WorkerNote::Belief { belief, silent_ms } => Line::new(catalogue::WORKER_BELIEF)
-            .text("belief", belief)
+        WorkerNote::StatusChanged { status, silent_ms } => Line::new(catalogue::WORKER_BELIEF)
+            .text("belief", status)
             .number("silent_ms", *silent_ms),
         WorkerNote::Slow {
             slowness_percent,
@@ -22,16 +22,16 @@
             .display("least_step", least)
             .number("least_percent", *least_percent),
         WorkerNote::Lost {
-            how,
+            reason,
             silent_ms,
             runs,
-            youngest,
+            latest_run,
         } => {
             let line = Line::new(catalogue::WORKER_LOST)
-                .text("how", how)
+                .text("how", reason)
                 .number("silent_ms", *silent_ms)
                 .number("runs", *runs);
-            match youngest {
+            match latest_run {
                 Some(youngest) => line
                     .display("job", youngest.task.step.job)
                     .display("youngest", youngest.task)
--- a/crates/cell/tests/cell/fuzz.rs
+++ b/crates/cell/tests/cell/fuzz.rs
@@ -124,9 +124,9 @@
 fn progress() -> JobProgress {
     let running = UnitProgress {
         failures: 1,
-        started: Run(3),
-        accounted: Run(2),
-        failed: Run(2),
+        last_started: Run(3),
+        last_accounted: Run(2),
+        last_failed: Run(2),
         checkpoint: "c".into(),
         workers: vec![worker(0).id],
         ..UnitProgress::default()
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -194,7 +194,7 @@
             self.judge.started(id, command.task, command.run);
             return Ok(());
         };
-        let wanted = worker.used().saturating_add(&step.room());
+        let wanted = worker.used().saturating_add(&step.reserved_resources());
         if self.limits.admission_control && !wanted.fits_in(&worker.capacity) {
             return Err(OrderError::Refused(StartRefusal::NoRoom));
         }
@@ -205,7 +205,7 @@
             command.task,
             LiveRun {
                 run: command.run,
-                resources: step.room(),
+                resources: step.reserved_resources(),
                 gang: step.gang,
                 lasts: step.long_running,
                 began_at: now,
--- a/crates/sched/src/action.rs
+++ b/crates/sched/src/action.rs
@@ -76,7 +76,7 @@
         percent: u8,
     },
     /// Ask which workers may run a step.
-    Ask {
+    RequestAdvice {
         /// The step.
         step: StepId,
         /// The workers to name.
@@ -97,7 +97,7 @@
         duty: Duty,
     },
     /// Tell the operators how far a wave is.
-    TellWave {
+    ReportWave {
         /// The wave.
         wave: u64,
         /// Whether every VM that stays has begun its upkeep.
--- a/crates/sched/src/advice.rs
+++ b/crates/sched/src/advice.rs
@@ -11,7 +11,7 @@
 use crate::StepId;
 use crate::TaskId;
 use crate::WorkerKey;
-use crate::gang::CHOICE;
+use crate::gang::CANDIDATE_CAPACITY_FACTOR;
 use crate::ids::JobKey;
 use crate::job::Ticket;
 use crate::scheduler::QueueStats;
@@ -94,9 +94,9 @@
         };
         let of_job = &self.jobs[job];
         let of_step = &of_job.steps[step];
-        let need = of_step.spec.room();
-        let wanted = of_step.pending;
-        let first = of_step.advice.calls == 0;
+        let need = of_step.spec.reserved_resources();
+        let wanted = of_step.pending_units;
+        let first = of_step.advice.call_count == 0;
         let mut known = Vec::new();
         let mut unknown = Vec::new();
         for key in self.eligible(of_step.spec.required_label.as_ref(), of_job, now) {
@@ -139,7 +139,11 @@
                 continue;
             }
             let limit = of_step.spec.tasks;
-            let room = fits(&self.workers[key].room(), &of_step.spec.room(), limit);
+            let room = fits(
+                &self.workers[key].room(),
+                &of_step.spec.reserved_resources(),
+                limit,
+            );
             unknown.push((room, key));
         }
         let count = self.first_call_size(job, step, &unknown);
@@ -155,16 +159,21 @@
     fn width_to_ask(&self, job: JobKey, step: usize) -> usize {
         let of_job = &self.jobs[job];
         let spec = &of_job.steps[step].spec;
-        let limit = spec.limit_on_a_worker();
+        let limit = spec.max_tasks_per_worker();
         let mut workers: u32 = 0;
         let mut held: u32 = 0;
         for worker in self.workers.values() {
             workers += 1;
-            held = held.saturating_add(fits(&worker.spec.capacity, &spec.room(), limit));
+            held = held.saturating_add(fits(
+                &worker.spec.capacity,
+                &spec.reserved_resources(),
+                limit,
+            ));
         }
         let each = f64::from(held) / f64::from(workers.max(1));
         let share = self.allowed_share(&of_job.spec.policy.queue);
-        let wanted = f64::from(spec.tasks) * f64::from(CHOICE) / each.max(0.5) / share;
+        let wanted =
+            f64::from(spec.tasks) * f64::from(CANDIDATE_CAPACITY_FACTOR) / each.max(0.5) / share;
         whole_workers(wanted)
     }
 
@@ -207,7 +216,7 @@
     fn first_call_size(&self, job: JobKey, step: usize, unknown: &[(u32, WorkerKey)]) -> usize {
         let job = &self.jobs[job];
         let of_step = &job.steps[step];
-        let tasks = of_step.pending.saturating_mul(of_step.members());
+        let tasks = of_step.pending_units.saturating_mul(of_step.members());
         let room: u32 = unknown.iter().map(|(room, _)| *room).sum();
         let workers = u32::try_from(unknown.len()).unwrap_or(u32::MAX).max(1);
         let per_worker = (f64::from(room) / f64::from(workers)).max(0.5);
@@ -243,9 +252,9 @@
             }
             let advice = &mut self.jobs[job].steps[step].advice;
             advice.asked_at = Some(now);
-            advice.under_way += 1;
-            advice.calls += 1;
-            self.actions.push(Action::Ask {
+            advice.pending_calls += 1;
+            advice.call_count += 1;
+            self.actions.push(Action::RequestAdvice {
                 step: id,
                 expected_ms,
                 workers: part.to_vec(),
@@ -281,13 +290,13 @@
         };
         let job = &mut self.jobs[key];
         let queue = job.spec.policy.queue.clone();
-        let Some(index) = job.index_of(step) else {
+        let Some(index) = job.step_index(step) else {
             return;
         };
         let of_step = &mut job.steps[index];
         let advice = &mut of_step.advice;
-        advice.under_way = advice.under_way.saturating_sub(1);
-        if advice.under_way == 0 {
+        advice.pending_calls = advice.pending_calls.saturating_sub(1);
+        if advice.pending_calls == 0 {
             advice.asked_at = None;
         }
         let AdviceAnswer::Given {
@@ -340,7 +349,7 @@
                 let asked_at = step.advice.asked_at;
                 if asked_at.is_some_and(|at| now.since(at) > bound_ms) {
                     step.advice.asked_at = None;
-                    step.advice.under_way = 0;
+                    step.advice.pending_calls = 0;
                 }
             }
         }
--- a/crates/sched/src/blame.rs
+++ b/crates/sched/src/blame.rs
@@ -62,20 +62,20 @@
     /// Counts a crash under it.
     pub(crate) fn add(&mut self, crash: &Crash) {
         self.count.workers += 1;
-        self.count.alone += u32::from(crash.alone);
-        self.count.late |= crash.late;
+        self.count.sole_suspect += u32::from(crash.alone);
+        self.count.after_startup |= crash.late;
         self.longest_ms = self.longest_ms.max(crash.there_ms);
     }
 
     const fn is_proved(self) -> bool {
         let CrashCount {
             workers,
-            alone,
-            late,
+            sole_suspect,
+            after_startup,
             ..
         } = self.count;
-        let is_certain = workers >= CRASHES_TO_GIVE_UP && alone >= ALONE_TO_GIVE_UP;
-        workers >= CRASHES_LIMIT || is_certain && !late
+        let is_certain = workers >= CRASHES_TO_GIVE_UP && sole_suspect >= ALONE_TO_GIVE_UP;
+        workers >= CRASHES_LIMIT || is_certain && !after_startup
     }
 
     /// Returns the time after which a run of the task is no longer expected to take its worker down.
--- a/crates/sched/src/contact.rs
+++ b/crates/sched/src/contact.rs
@@ -15,7 +15,7 @@
 use crate::StopReason;
 use crate::TaskId;
 use crate::WorkerKey;
-use crate::reports::belief;
+use crate::reports::status_note;
 use crate::scatter::seed_of;
 use crate::worker::Phase;
 use crate::worker::WorkerRun;
@@ -147,7 +147,7 @@
         contact.half_open = false;
         if contact.shut {
             contact.shut = false;
-            let note = belief(worker, "takes_orders", now);
+            let note = status_note(worker, "takes_orders", now);
             self.actions.push(note);
         }
     }
@@ -177,7 +177,7 @@
         contact.shut = true;
         contact.window = FIRST_STARTS;
         contact.probes = 0;
-        let note = belief(worker, "takes_no_orders", now);
+        let note = status_note(worker, "takes_no_orders", now);
         self.actions.push(note);
         self.set_next_probe(key, name, now);
     }
@@ -268,7 +268,7 @@
         } else {
             "lease_renewed"
         };
-        let note = belief(worker, name, now);
+        let note = status_note(worker, name, now);
         self.actions.push(note);
     }
 }
--- a/crates/sched/src/counts.rs
+++ b/crates/sched/src/counts.rs
@@ -63,8 +63,8 @@
         };
         for key in &self.open {
             for (index, step) in self.jobs[*key].steps.iter().enumerate() {
-                if step.pending > 0 && self.jobs[*key].is_ready(index, now) {
-                    counts.waiting_tasks += u64::from(step.pending * step.members());
+                if step.pending_units > 0 && self.jobs[*key].is_ready(index, now) {
+                    counts.waiting_tasks += u64::from(step.pending_units * step.members());
                 }
             }
         }
--- a/crates/sched/src/event.rs
+++ b/crates/sched/src/event.rs
@@ -22,7 +22,7 @@
 
 /// A worker that may run a step, with the proof of it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Allowed {
+pub struct AllowedWorker {
     /// The worker.
     pub worker: WorkerKey,
     /// What the start order must carry.
@@ -35,7 +35,7 @@
     /// These of the workers may run the step.
     Given {
         /// The workers that may.
-        allowed: Vec<Allowed>,
+        allowed: Vec<AllowedWorker>,
         /// Time for which the tickets are valid, from when the call was answered.
         validity_ms: u64,
     },
@@ -90,7 +90,7 @@
     },
     /// A later life of the worker answers under its name: all that ran on this one has ended, but what this scheduler
     /// ordered lately may have reached that one.
-    Reborn {
+    Restarted {
         /// The worker.
         worker: WorkerKey,
     },
--- a/crates/sched/src/gang.rs
+++ b/crates/sched/src/gang.rs
@@ -7,15 +7,15 @@
 use crate::WorkerKey;
 use crate::ids::JobKey;
 use crate::place::victims;
-use crate::units::Place;
+use crate::units::UnitRef;
 use crate::worker::fits;
 
 /// A ticket that is good for less than this is asked for anew while room is being made.
-const FRESH_MS: u64 = 300;
+const MIN_TICKET_VALIDITY_MS: u64 = 300;
 
 /// A gang asks about more workers until those that may run it could hold it so many times: with no bound,
 /// gangs that lack room take all calls for advice.
-pub(crate) const CHOICE: u32 = 3;
+pub(crate) const CANDIDATE_CAPACITY_FACTOR: u32 = 3;
 
 /// Workers for the members of a gang, and how many of them each takes.
 #[derive(Debug)]
@@ -35,120 +35,148 @@
 
 impl Scheduler {
     /// Starts a gang if all members have room and tickets, and else works towards that.
-    pub(crate) fn serve_gang(&mut self, job: JobKey, step: usize, now: Millis) {
-        if self.jobs[job].steps[step].units[0].reservation.is_some() {
-            self.serve_reserved_gang(job, step, now);
+    pub(crate) fn schedule_gang(&mut self, job_key: JobKey, step_index: usize, now: Millis) {
+        if self.jobs[job_key].steps[step_index].units[0]
+            .reservation
+            .is_some()
+        {
+            self.start_reserved_gang(job_key, step_index, now);
             return;
         }
-        let needs_advice = self.jobs[job].spec.policy.advice.is_some();
-        if needs_advice && self.jobs[job].steps[step].advice.calls == 0 {
-            self.ask_for_gang(job, step, now);
+        let needs_advice = self.jobs[job_key].spec.policy.advice.is_some();
+        if needs_advice && self.jobs[job_key].steps[step_index].advice.call_count == 0 {
+            self.ask_for_gang(job_key, step_index, now);
             return;
         }
-        let candidates = self.gang_candidates(job, step, now);
-        let Some(plan) = self.plan_gang(job, step, &candidates) else {
+        let candidates = self.gang_candidates(job_key, step_index, now);
+        let Some(plan) = self.plan_gang(job_key, step_index, &candidates) else {
             // More room comes as runs end; more workers are asked about only where it can't be enough.
-            if !self.could_hold_gang(job, step, &candidates) {
-                self.ask_for_gang(job, step, now);
+            if !self.has_capacity_for_gang(job_key, step_index, &candidates) {
+                self.ask_for_gang(job_key, step_index, now);
             }
             return;
         };
         if plan.preempts {
-            self.preempt_for_gang(job, step, &plan, now);
+            self.preempt_for_gang(job_key, step_index, &plan, now);
         }
-        self.reserve(job, step, 0, plan.workers, now);
-        self.serve_reserved_gang(job, step, now);
+        self.reserve(job_key, step_index, 0, plan.workers, now);
+        self.start_reserved_gang(job_key, step_index, now);
     }
 
-    fn serve_reserved_gang(&mut self, job: JobKey, step: usize, now: Millis) {
-        let of_step = &self.jobs[job].steps[step];
-        let need = of_step.spec.room();
-        let Some(reservation) = of_step.units[0].reservation.clone() else {
+    fn start_reserved_gang(&mut self, job_key: JobKey, step_index: usize, now: Millis) {
+        let step = &self.jobs[job_key].steps[step_index];
+        let need = step.spec.reserved_resources();
+        let Some(reservation) = step.units[0].reservation.clone() else {
             return;
         };
         let mut has_room = true;
         let mut stale = Vec::new();
         for (key, count) in &reservation.workers {
             if !self.may_use_reserved(*key, reservation.isolated, now) {
-                self.release_reservation(job, step, 0);
+                self.release_reservation(job_key, step_index, 0);
                 return;
             }
             let worker = &self.workers[*key];
             has_room &= !reservation.isolated || !worker.has_probation();
             has_room &= need.saturating_mul(*count).fits_in(&worker.free());
-            if !self.has_ticket(job, step, *key, now) {
+            if !self.has_ticket(job_key, step_index, *key, now) {
                 stale.push(*key);
             }
         }
-        if !stale.is_empty() || (!has_room && !self.is_fresh(job, step, &reservation.workers, now))
+        if !stale.is_empty()
+            || (!has_room
+                && !self.tickets_stay_valid(job_key, step_index, &reservation.workers, now))
         {
             let workers: Vec<_> = reservation.workers.iter().map(|(key, _)| *key).collect();
-            self.ask_again(job, step, &workers, now);
+            self.ask_again(job_key, step_index, &workers, now);
         }
         if has_room && stale.is_empty() {
             let unit = 0;
-            if self.is_announced(Place { job, step, unit }) {
+            if self.is_announced(UnitRef {
+                job: job_key,
+                step: step_index,
+                unit,
+            }) {
                 let members: Vec<_> = reservation.members().collect();
-                self.free_reserved(job, step, unit);
-                self.start_unit(job, step, unit, &members, now);
+                self.free_reserved(job_key, step_index, unit);
+                self.start_unit(job_key, step_index, unit, &members, now);
                 return;
             }
         }
         if reservation.until <= now {
-            self.release_reservation(job, step, 0);
+            self.release_reservation(job_key, step_index, 0);
         }
     }
 
-    fn is_fresh(
+    fn tickets_stay_valid(
         &self,
-        job: JobKey,
-        step: usize,
+        job_key: JobKey,
+        step_index: usize,
         workers: &[(WorkerKey, u32)],
         now: Millis,
     ) -> bool {
-        let later = now.plus(FRESH_MS);
+        let later = now.plus(MIN_TICKET_VALIDITY_MS);
         workers
             .iter()
-            .all(|(key, _)| self.has_ticket(job, step, *key, later))
+            .all(|(key, _)| self.has_ticket(job_key, step_index, *key, later))
     }
 
     /// Says whether the workers that may run a gang have what it takes some times over, if others left.
-    fn could_hold_gang(&self, job: JobKey, step: usize, candidates: &[WorkerKey]) -> bool {
-        let spec = &self.jobs[job].steps[step].spec;
-        let limit = spec.limit_on_a_worker();
+    fn has_capacity_for_gang(
+        &self,
+        job_key: JobKey,
+        step_index: usize,
+        candidates: &[WorkerKey],
+    ) -> bool {
+        let spec = &self.jobs[job_key].steps[step_index].spec;
+        let limit = spec.max_tasks_per_worker();
         let mut held = 0;
         for key in candidates {
-            held += fits(&self.workers[*key].spec.capacity, &spec.room(), limit);
+            held += fits(
+                &self.workers[*key].spec.capacity,
+                &spec.reserved_resources(),
+                limit,
+            );
         }
-        held >= spec.tasks.saturating_mul(CHOICE)
+        held >= spec.tasks.saturating_mul(CANDIDATE_CAPACITY_FACTOR)
     }
 
     /// Returns the workers that may run a gang, whether or not their tickets are still good.
-    fn gang_candidates(&self, job: JobKey, step: usize, now: Millis) -> Vec<WorkerKey> {
-        let of_job = &self.jobs[job];
-        let of_step = &of_job.steps[step];
-        let mut candidates = self.eligible(of_step.spec.required_label.as_ref(), of_job, now);
-        if of_job.spec.policy.advice.is_some() {
-            candidates.retain(|key| of_step.advice.tickets.contains_key(key));
-        }
-        let avoid = self.avoided(job, step, 0, now);
+    fn gang_candidates(&self, job_key: JobKey, step_index: usize, now: Millis) -> Vec<WorkerKey> {
+        let job = &self.jobs[job_key];
+        let step = &job.steps[step_index];
+        let mut candidates = self.eligible(step.spec.required_label.as_ref(), job, now);
+        if job.spec.policy.advice.is_some() {
+            candidates.retain(|key| step.advice.tickets.contains_key(key));
+        }
+        let avoid = self.avoided(job_key, step_index, 0, now);
         candidates.retain(|key| !avoid.contains(key));
-        if of_step.units[0].crashes() > 0 {
+        if step.units[0].crashes() > 0 {
             candidates.retain(|key| !self.workers[*key].has_suspect());
         }
         candidates
     }
 
-    fn plan_gang(&self, job: JobKey, step: usize, candidates: &[WorkerKey]) -> Option<Plan> {
-        if self.jobs[job].steps[step].spec.same_rack
-            && let Some(plan) = self.plan_in_one_rack(job, step, candidates)
+    fn plan_gang(
+        &self,
+        job_key: JobKey,
+        step_index: usize,
+        candidates: &[WorkerKey],
+    ) -> Option<Plan> {
+        if self.jobs[job_key].steps[step_index].spec.same_rack
+            && let Some(plan) = self.plan_in_one_rack(job_key, step_index, candidates)
         {
             return Some(plan);
         }
-        self.plan_among(job, step, candidates)
+        self.plan_on(job_key, step_index, candidates)
     }
 
-    fn plan_in_one_rack(&self, job: JobKey, step: usize, candidates: &[WorkerKey]) -> Option<Plan> {
+    fn plan_in_one_rack(
+        &self,
+        job_key: JobKey,
+        step_index: usize,
+        candidates: &[WorkerKey],
+    ) -> Option<Plan> {
         let mut racks: Vec<_> = candidates
             .iter()
             .map(|key| &self.workers[*key].spec.rack)
@@ -161,7 +189,7 @@
                 .copied()
                 .filter(|key| self.workers[*key].spec.rack == *rack)
                 .collect();
-            let plan = self.plan_among(job, step, &inside);
+            let plan = self.plan_on(job_key, step_index, &inside);
             if plan.is_some() {
                 return plan;
             }
@@ -169,9 +197,14 @@
         None
     }
 
-    fn plan_among(&self, job: JobKey, step: usize, candidates: &[WorkerKey]) -> Option<Plan> {
-        let tasks = self.jobs[job].steps[step].spec.tasks;
-        let mut offers = self.offers(job, step, candidates);
+    fn plan_on(
+        &self,
+        job_key: JobKey,
+        step_index: usize,
+        candidates: &[WorkerKey],
+    ) -> Option<Plan> {
+        let tasks = self.jobs[job_key].steps[step_index].spec.tasks;
+        let mut offers = self.offers(job_key, step_index, candidates);
         let free: u32 = offers.iter().map(|offer| offer.free).sum();
         let all: u32 = offers.iter().map(|offer| offer.with_preemption).sum();
         if all < tasks {
@@ -196,20 +229,22 @@
         Some(Plan { workers, preempts })
     }
 
-    fn offers(&self, job: JobKey, step: usize, candidates: &[WorkerKey]) -> Vec<Offer> {
-        let of_job = &self.jobs[job];
-        let spec = &of_job.steps[step].spec;
-        let priority = of_job.spec.policy.priority;
-        let limit = spec.limit_on_a_worker();
-        let id = self.step_id(job, step);
+    fn offers(&self, job_key: JobKey, step_index: usize, candidates: &[WorkerKey]) -> Vec<Offer> {
+        let job = &self.jobs[job_key];
+        let spec = &job.steps[step_index].spec;
+        let priority = job.spec.policy.priority;
+        let limit = spec.max_tasks_per_worker();
+        let id = self.step_id(job_key, step_index);
         let mut offers = Vec::new();
         for key in candidates {
             let worker = &self.workers[*key];
             let limit = limit.saturating_sub(worker.tasks_of(id));
-            let free = fits(&worker.room(), &spec.room(), limit);
+            let free = fits(&worker.room(), &spec.reserved_resources(), limit);
             let mut with_preemption = free;
             while with_preemption < limit {
-                let more = spec.room().saturating_mul(with_preemption + 1);
+                let more = spec
+                    .reserved_resources()
+                    .saturating_mul(with_preemption + 1);
                 if victims(worker, &more, priority).is_none() {
                     break;
                 }
@@ -226,10 +261,10 @@
         offers
     }
 
-    fn preempt_for_gang(&mut self, job: JobKey, step: usize, plan: &Plan, now: Millis) {
-        let of_job = &self.jobs[job];
-        let need = of_job.steps[step].spec.room();
-        let priority = of_job.spec.policy.priority;
+    fn preempt_for_gang(&mut self, job_key: JobKey, step_index: usize, plan: &Plan, now: Millis) {
+        let job = &self.jobs[job_key];
+        let need = job.steps[step_index].spec.reserved_resources();
+        let priority = job.spec.policy.priority;
         let mut stops = Vec::new();
         for (key, count) in &plan.workers {
             let needed = need.saturating_mul(*count);
--- a/crates/sched/src/headroom.rs
+++ b/crates/sched/src/headroom.rs
@@ -82,7 +82,10 @@
         if job.spec.policy.priority == URGENT || spec.fills {
             return false;
         }
-        let left = self.headroom.free.saturating_sub(spec.room().cpu_millis);
+        let left = self
+            .headroom
+            .free
+            .saturating_sub(spec.reserved_resources().cpu_millis);
         left < self.headroom.wanted()
     }
 }
--- a/crates/sched/src/job.rs
+++ b/crates/sched/src/job.rs
@@ -22,11 +22,11 @@
 use crate::Version;
 use crate::WorkerKey;
 use crate::blame::Blame;
-use crate::keeping::EndStamp;
 use crate::placed::PlacedBefore;
 use crate::placed::placed_names;
 use crate::progress::StepProgress;
 use crate::progress::UnitProgress;
+use crate::retention::EndStamp;
 
 /// How a unit's run came out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -48,7 +48,7 @@
         members: Vec<Option<WorkerKey>>,
     },
     /// A member has ended, and the others are being stopped.
-    Closing {
+    Stopping {
         run: Run,
         /// Workers of those.
         members: Vec<Option<WorkerKey>>,
@@ -66,20 +66,20 @@
     pub(crate) state: UnitState,
     pub(crate) failures: u32,
     /// Number of its latest start.
-    pub(crate) started: Run,
+    pub(crate) last_started: Run,
     /// Number of the latest start whose end was taken into account.
-    pub(crate) accounted: Run,
+    pub(crate) last_accounted: Run,
     /// Number of the latest start that counts as failed.
-    pub(crate) failed: Run,
+    pub(crate) last_failed: Run,
     /// Number of the latest start that was given up since its lease had surely lapsed.
-    pub(crate) lapsed: Run,
+    pub(crate) last_lapsed: Run,
     pub(crate) checkpoint: SmolStr,
     /// Time that its latest run takes as a whole, at the speed seen.
-    pub(crate) whole_ms: Option<u64>,
+    pub(crate) expected_run_ms: Option<u64>,
     /// Times that it was moved off a slow worker.
     pub(crate) moves: u32,
     /// Workers on which it failed; it goes elsewhere where it can.
-    pub(crate) avoid: Vec<WorkerKey>,
+    pub(crate) avoided_workers: Vec<WorkerKey>,
     /// What its members are suspected of, by their position.
     pub(crate) blames: BTreeMap<usize, Blame>,
     /// Where a predecessor started it last.
@@ -87,7 +87,7 @@
     /// Room that is kept for it, and until when.
     pub(crate) reservation: Option<Reservation>,
     /// Whether the store is told where it is about to be started.
-    pub(crate) announced: Option<Announced>,
+    pub(crate) start_intent: Option<StartIntent>,
 }
 
 /// Room that is kept for a unit until what is in it has ended.
@@ -113,9 +113,9 @@
 
 /// A start that the store is told of before it is ordered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Announced {
+pub(crate) struct StartIntent {
     /// Number of the latest start before it.
-    pub(crate) before: Run,
+    pub(crate) previous_run: Run,
     /// Change of the job that tells of it.
     pub(crate) change: u64,
 }
@@ -125,18 +125,18 @@
         Self {
             state: UnitState::Pending,
             failures: 0,
-            started: Run(0),
-            accounted: Run(0),
-            failed: Run(0),
-            lapsed: Run(0),
+            last_started: Run(0),
+            last_accounted: Run(0),
+            last_failed: Run(0),
+            last_lapsed: Run(0),
             checkpoint: SmolStr::new_static(""),
-            whole_ms: None,
+            expected_run_ms: None,
             moves: 0,
-            avoid: Vec::new(),
+            avoided_workers: Vec::new(),
             blames: BTreeMap::new(),
             placed_before: PlacedBefore::NOWHERE,
             reservation: None,
-            announced: None,
+            start_intent: None,
         }
     }
 
@@ -178,11 +178,11 @@
     /// When the calls under way were made.
     pub(crate) asked_at: Option<Millis>,
     /// Calls under way.
-    pub(crate) under_way: u32,
+    pub(crate) pending_calls: u32,
     /// No call before this time.
     pub(crate) not_before: Millis,
     /// Calls made.
-    pub(crate) calls: u32,
+    pub(crate) call_count: u32,
 }
 
 /// Proof that a worker may run a step.
@@ -199,9 +199,9 @@
     pub(crate) units: Vec<Unit>,
     pub(crate) advice: Advice,
     /// Units that are not done.
-    pub(crate) left: u32,
+    pub(crate) unfinished_units: u32,
     /// Units that wait for a start.
-    pub(crate) pending: u32,
+    pub(crate) pending_units: u32,
     /// Before this time it does not start; none where it may start at once.
     pub(crate) due_at: Option<Millis>,
     /// When its tasks began to wait.
@@ -210,8 +210,8 @@
     /// down.
     pub(crate) suspected_at: Option<Millis>,
     /// When the log last told that it waits, and how often it has.
-    pub(crate) told_at: Millis,
-    pub(crate) tells: u32,
+    pub(crate) wait_logged_at: Millis,
+    pub(crate) wait_log_count: u32,
 }
 
 impl Step {
@@ -221,13 +221,13 @@
             spec: spec.clone(),
             units: vec![Unit::new(); usize::try_from(units).unwrap_or(0)],
             advice: Advice::default(),
-            left: units,
-            pending: units,
+            unfinished_units: units,
+            pending_units: units,
             due_at,
             ready_at: None,
             suspected_at: None,
-            told_at: Millis(0),
-            tells: 0,
+            wait_logged_at: Millis(0),
+            wait_log_count: 0,
         }
     }
 
@@ -250,7 +250,7 @@
     }
 
     /// Says whether a task's next run goes on from a checkpoint.
-    pub(crate) fn resumes(&self, index: u32) -> bool {
+    pub(crate) fn resumes_from_checkpoint(&self, index: u32) -> bool {
         let unit = self.unit_of(index).map(|(unit, _)| &self.units[unit]);
         unit.is_some_and(|unit| !unit.checkpoint.is_empty())
     }
@@ -273,11 +273,11 @@
     /// State of the latest change, recorded or not.
     pub(crate) state: JobState,
     /// State that may be shown: the store has it.
-    pub(crate) shown: JobState,
+    pub(crate) visible_state: JobState,
     /// Changes so far.
-    pub(crate) changes: u64,
+    pub(crate) latest_change: u64,
     /// Change up to which the store has the progress.
-    pub(crate) recorded: u64,
+    pub(crate) recorded_change: u64,
     /// When it was accepted, on the scheduler's clock.
     pub(crate) accepted_at: Millis,
     /// Objective, from the acceptance on.
@@ -285,15 +285,15 @@
     /// Whether a predecessor may have started tasks that are not known.
     pub(crate) inherited: bool,
     /// Its number among the jobs that were added since this scheduler began; 0 for those that it found.
-    pub(crate) number: u64,
+    pub(crate) arrival_number: u64,
     /// When it ended.
     pub(crate) ended_at: Option<Millis>,
     /// When its end was first written down.
-    pub(crate) ended: Option<EndStamp>,
+    pub(crate) end_stamp: Option<EndStamp>,
     /// When its end was shown: from then on it is kept for its time.
-    pub(crate) shown_ended_at: Option<CellTime>,
+    pub(crate) end_visible_at: Option<CellTime>,
     /// Whether some worker has told of a run of it.
-    pub(crate) begun: bool,
+    pub(crate) has_started: bool,
 }
 
 impl Job {
@@ -303,22 +303,22 @@
             at: accepted_at,
             day: spec.accepted_at_ms,
         };
-        let steps = steps_of(&spec, accepted_at, day.unwrap_or(accepted));
+        let steps = expand_steps(&spec, accepted_at, day.unwrap_or(accepted));
         let objective_ms = objective_ms(&spec);
         Self {
             steps,
             state: JobState::Queued,
-            shown: JobState::Queued,
-            changes: 0,
-            recorded: 0,
+            visible_state: JobState::Queued,
+            latest_change: 0,
+            recorded_change: 0,
             accepted_at,
             objective_ms,
             inherited: false,
-            number: 0,
+            arrival_number: 0,
             ended_at: None,
-            ended: None,
-            shown_ended_at: None,
-            begun: false,
+            end_stamp: None,
+            end_visible_at: None,
+            has_started: false,
             spec,
         }
     }
@@ -328,18 +328,18 @@
     }
 
     /// Takes note that a task of it has begun on a worker.
-    pub(crate) fn begin(&mut self) {
-        self.begun = true;
+    pub(crate) fn mark_started(&mut self) {
+        self.has_started = true;
         if self.state == JobState::Queued {
             self.state = JobState::Running;
         }
     }
 
     /// Takes the time of day for its due times.
-    pub(crate) fn set_day(&mut self, day: DayAnchor) {
-        let of_one = self.spec.steps.len().max(1);
+    pub(crate) fn set_wall_clock(&mut self, day: DayAnchor) {
+        let steps_per_occurrence = self.spec.steps.len().max(1);
         for (index, step) in self.steps.iter_mut().enumerate() {
-            let occurrence = u32::try_from(index / of_one).unwrap_or(u32::MAX);
+            let occurrence = u32::try_from(index / steps_per_occurrence).unwrap_or(u32::MAX);
             let due_at = self.spec.schedule.due_at(occurrence);
             step.due_at = due_at.map(|due_at| day.steady_at(due_at).max(self.accepted_at));
         }
@@ -354,41 +354,43 @@
         let before = &self.steps[step].spec.after;
         before.iter().all(|after| {
             let step = self.steps.get(first + usize::from(*after));
-            step.is_some_and(|step| step.left == 0)
+            step.is_some_and(|step| step.unfinished_units == 0)
         })
     }
 
     /// Returns the position of a step of some occurrence among all steps.
-    pub(crate) fn index_of(&self, step: StepId) -> Option<usize> {
-        let of_one = self.spec.steps.len();
+    pub(crate) fn step_index(&self, step: StepId) -> Option<usize> {
+        let steps_per_occurrence = self.spec.steps.len();
         let position = usize::from(step.step);
         let occurrence = usize::try_from(step.occurrence).ok()?;
-        let index = occurrence.checked_mul(of_one)?.checked_add(position)?;
-        (position < of_one && index < self.steps.len()).then_some(index)
+        let index = occurrence
+            .checked_mul(steps_per_occurrence)?
+            .checked_add(position)?;
+        (position < steps_per_occurrence && index < self.steps.len()).then_some(index)
     }
 
     /// Returns the name of the step at a position among all steps.
     pub(crate) fn step_id(&self, index: usize) -> StepId {
-        let of_one = self.spec.steps.len().max(1);
+        let steps_per_occurrence = self.spec.steps.len().max(1);
         StepId {
             job: self.id(),
-            occurrence: u32::try_from(index / of_one).unwrap_or(u32::MAX),
-            step: u16::try_from(index % of_one).unwrap_or(u16::MAX),
+            occurrence: u32::try_from(index / steps_per_occurrence).unwrap_or(u32::MAX),
+            step: u16::try_from(index % steps_per_occurrence).unwrap_or(u16::MAX),
         }
     }
 
     /// Returns the time from which the objective of a step counts.
-    pub(crate) fn counts_from(&self, step: usize) -> Millis {
+    pub(crate) fn objective_from(&self, step: usize) -> Millis {
         self.steps[step].due_at.unwrap_or(self.accepted_at)
     }
 
     /// Takes over what a predecessor kept of the job.
     pub(crate) fn restore(&mut self, progress: &JobProgress) {
         self.state = progress.state;
-        self.shown = progress.state;
-        self.begun = progress.state != JobState::Queued;
-        for (step, kept) in self.steps.iter_mut().zip(&progress.steps) {
-            restore_step(step, kept);
+        self.visible_state = progress.state;
+        self.has_started = progress.state != JobState::Queued;
+        for (step, stored) in self.steps.iter_mut().zip(&progress.steps) {
+            restore_step(step, stored);
         }
     }
 
@@ -400,12 +402,14 @@
         let mut progress = JobProgress {
             version: Version {
                 token: 0,
-                change: self.changes,
+                change: self.latest_change,
             },
             state: self.state,
             steps: Vec::new(),
-            ended_at_ms: self.ended.map_or(TimeOfDay::default(), |ended| ended.day),
-            ended_at_cell_ms: self.ended.map(|ended| ended.cell),
+            ended_at_ms: self
+                .end_stamp
+                .map_or(TimeOfDay::default(), |ended| ended.wall_time),
+            ended_at_cell_ms: self.end_stamp.map(|ended| ended.cell_time),
         };
         if self.state.is_terminal() {
             return progress;
@@ -418,9 +422,9 @@
 }
 
 /// Makes the steps of all occurrences.
-fn steps_of(spec: &JobSpec, accepted_at: Millis, day: DayAnchor) -> Vec<Step> {
+fn expand_steps(spec: &JobSpec, accepted_at: Millis, day: DayAnchor) -> Vec<Step> {
     let mut steps = Vec::new();
-    for occurrence in 0..spec.schedule.times() {
+    for occurrence in 0..spec.schedule.occurrence_count() {
         let due_at = spec.schedule.due_at(occurrence);
         let due_at = due_at.map(|due_at| day.steady_at(due_at).max(accepted_at));
         for step in &spec.steps {
@@ -430,26 +434,26 @@
     steps
 }
 
-fn restore_step(step: &mut Step, kept: &StepProgress) {
+fn restore_step(step: &mut Step, stored: &StepProgress) {
     for (index, unit) in step.units.iter_mut().enumerate() {
         let index = u32::try_from(index).unwrap_or(u32::MAX);
-        let of_unit = kept.units.get(&index);
-        if kept.done || of_unit.is_some_and(|of_unit| of_unit.done) {
+        let stored_unit = stored.units.get(&index);
+        if stored.done || stored_unit.is_some_and(|stored_unit| stored_unit.done) {
             unit.state = UnitState::Done;
-            step.left -= 1;
-            step.pending -= 1;
+            step.unfinished_units -= 1;
+            step.pending_units -= 1;
             continue;
         }
-        let Some(of_unit) = of_unit else {
+        let Some(stored_unit) = stored_unit else {
             continue;
         };
-        unit.failures = of_unit.failures;
-        unit.started = of_unit.started;
-        unit.accounted = of_unit.accounted;
-        unit.failed = of_unit.failed;
-        unit.checkpoint = of_unit.checkpoint.clone();
-        unit.placed_before = PlacedBefore::restored(of_unit);
-        for (member, count) in &of_unit.crashes {
+        unit.failures = stored_unit.failures;
+        unit.last_started = stored_unit.last_started;
+        unit.last_accounted = stored_unit.last_accounted;
+        unit.last_failed = stored_unit.last_failed;
+        unit.checkpoint = stored_unit.checkpoint.clone();
+        unit.placed_before = PlacedBefore::restored(stored_unit);
+        for (member, count) in &stored_unit.crashes {
             let member = usize::try_from(*member).unwrap_or(usize::MAX);
             unit.blames.insert(member, Blame::restored(*count));
             step.suspected_at = Some(Millis(0));
@@ -464,24 +468,24 @@
     let mut progress = StepProgress::default();
     for (index, unit) in step.units.iter().enumerate() {
         let done = unit.is_done();
-        if unit.started == Run(0) && !done {
+        if unit.last_started == Run(0) && !done {
             continue;
         }
-        let mut kept = UnitProgress {
+        let mut stored = UnitProgress {
             done,
             ..UnitProgress::default()
         };
         if !done {
-            kept.failures = unit.failures;
-            kept.started = unit.started;
-            kept.accounted = unit.accounted;
-            kept.failed = unit.failed;
-            kept.checkpoint = unit.checkpoint.clone();
-            kept.workers = placed_names(unit, name_of);
-            kept.crashes = crashes_of(unit);
+            stored.failures = unit.failures;
+            stored.last_started = unit.last_started;
+            stored.last_accounted = unit.last_accounted;
+            stored.last_failed = unit.last_failed;
+            stored.checkpoint = unit.checkpoint.clone();
+            stored.workers = placed_names(unit, name_of);
+            stored.crashes = crash_counts(unit);
         }
         let index = u32::try_from(index).unwrap_or(u32::MAX);
-        progress.units.insert(index, kept);
+        progress.units.insert(index, stored);
     }
     progress.done = step.units.iter().all(Unit::is_done);
     if progress.done {
@@ -490,7 +494,7 @@
     progress
 }
 
-fn crashes_of(unit: &Unit) -> BTreeMap<u32, CrashCount> {
+fn crash_counts(unit: &Unit) -> BTreeMap<u32, CrashCount> {
     let mut crashes = BTreeMap::new();
     for (member, blame) in &unit.blames {
         let member = u32::try_from(*member).unwrap_or(u32::MAX);
--- a/crates/sched/src/note.rs
+++ b/crates/sched/src/note.rs
@@ -12,7 +12,7 @@
 
 /// The run of a worker that had been ordered last when the worker was lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct YoungestRun {
+pub struct LatestRun {
     /// The task.
     pub task: TaskId,
     /// Which start of it.
@@ -60,10 +60,10 @@
         /// Whether nothing else can be blamed.
         alone: bool,
         /// Time for which it had been there; 0 where nothing told of it.
-        there_ms: u64,
+        present_ms: u64,
     },
     /// A task, or a gang, is not started again since it takes its workers down.
-    TaskGivenUp {
+    TaskAbandoned {
         /// The task; of a gang, the first member.
         task: TaskId,
         /// Workers that crashed under it.
@@ -123,9 +123,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WorkerNote {
     /// A worker is believed unable to run more, or able again.
-    Belief {
+    StatusChanged {
         /// What is believed.
-        belief: &'static str,
+        status: &'static str,
         /// Time since it last answered.
         silent_ms: u64,
     },
@@ -144,13 +144,13 @@
     /// A worker is gone, and what ran on it with it.
     Lost {
         /// What was concluded of it.
-        how: &'static str,
+        reason: &'static str,
         /// Time since it last answered.
         silent_ms: u64,
         /// Runs that ended with it.
         runs: usize,
         /// The run of these that had been ordered last.
-        youngest: Option<YoungestRun>,
+        latest_run: Option<LatestRun>,
     },
     /// The runs that fill a worker go at another pace.
     Paced {
--- a/crates/sched/src/orders.rs
+++ b/crates/sched/src/orders.rs
@@ -11,7 +11,7 @@
 use crate::StopReason;
 use crate::TaskId;
 use crate::WorkerKey;
-use crate::units::Ending;
+use crate::units::RunTermination;
 use crate::worker::Phase;
 
 impl Scheduler {
@@ -41,7 +41,7 @@
                     of_run.percent_at = now;
                 }
                 self.order_taken(key, ordered_at, now);
-                self.note_begun(task.step.job);
+                self.mark_job_started(task.step.job);
             }
             StartAnswer::Refused(refusal) => {
                 self.order_taken(key, ordered_at, now);
@@ -69,7 +69,7 @@
         // It goes elsewhere first.
         let until = now.plus(self.options.order_retry_ms);
         worker.quarantined_until = worker.quarantined_until.max(until);
-        self.end_run(key, task, run, Ending::without_report("not_sent"), now);
+        self.end_run(key, task, run, RunTermination::inferred("not_sent"), now);
     }
 
     fn start_refused(
@@ -113,7 +113,7 @@
             self.stop_run(key, task, run, StopReason::StartInDoubt, now);
             return;
         }
-        let ending = Ending::without_report(refusal.as_str());
+        let ending = RunTermination::inferred(refusal.as_str());
         self.end_run(key, task, run, ending, now);
     }
 
--- a/crates/sched/src/strays.rs
+++ b/crates/sched/src/orphans.rs
@@ -14,19 +14,19 @@
 use crate::StopReason;
 use crate::TaskId;
 use crate::WorkerKey;
-use crate::units::Ending;
+use crate::units::RunTermination;
 
 /// Change that stands for one whose number is not known yet: its end is not acknowledged.
 const UNKNOWN_CHANGE: u64 = u64::MAX;
 
 /// The last that a worker told of a run.
 #[derive(Debug, Clone)]
-pub(crate) enum Told {
+pub(crate) enum RunReport {
     Running(RunningReport),
     Ended(EndReport),
 }
 
-impl Told {
+impl RunReport {
     pub(crate) const fn task(&self) -> TaskId {
         match self {
             Self::Running(report) => report.task,
@@ -44,10 +44,10 @@
 
 /// A run of a job that is not known.
 #[derive(Debug, Clone)]
-pub(crate) struct Stray {
+pub(crate) struct OrphanedRun {
     pub(crate) worker: WorkerKey,
-    pub(crate) told: Told,
-    heard_at: Millis,
+    pub(crate) report: RunReport,
+    reported_at: Millis,
 }
 
 impl Scheduler {
@@ -58,109 +58,114 @@
     }
 
     /// Keeps what a worker told of a run if its job may only not have been read yet. Says whether it does.
-    pub(crate) fn keep_stray(&mut self, worker: WorkerKey, told: Told, now: Millis) -> bool {
-        let (task, run) = (told.task(), told.run());
+    pub(crate) fn hold_orphan(
+        &mut self,
+        worker: WorkerKey,
+        report: RunReport,
+        now: Millis,
+    ) -> bool {
+        let (task, run) = (report.task(), report.run());
         let job = task.step.job;
         if self.job_keys.contains_key(&job) || now < self.jobs_read_at {
             return false;
         }
-        let same = |stray: &Stray| {
-            let name = (stray.told.task(), stray.told.run());
-            stray.worker == worker && name == (task, run)
+        let same = |orphan: &OrphanedRun| {
+            let name = (orphan.report.task(), orphan.report.run());
+            orphan.worker == worker && name == (task, run)
         };
-        self.strays.retain(|stray| !same(stray));
-        self.strays.push(Stray {
+        self.strays.retain(|orphan| !same(orphan));
+        self.strays.push(OrphanedRun {
             worker,
-            told,
-            heard_at: now,
+            report,
+            reported_at: now,
         });
         true
     }
 
     /// Says whether a run is of a job that may only not have been read yet.
-    pub(crate) fn is_stray(&self, task: TaskId, run: Run) -> bool {
-        let mut strays = self.strays.iter();
-        strays.any(|stray| (stray.told.task(), stray.told.run()) == (task, run))
+    pub(crate) fn is_orphan(&self, task: TaskId, run: Run) -> bool {
+        let mut orphans = self.strays.iter();
+        orphans.any(|orphan| (orphan.report.task(), orphan.report.run()) == (task, run))
     }
 
     /// Returns the change that includes an end, once its job is known or surely forgotten.
-    pub(crate) fn change_with_end(&self, job: JobId) -> u64 {
+    pub(crate) fn change_covering_end(&self, job: JobId) -> u64 {
         if let Some(key) = self.job_keys.get(&job) {
-            return self.jobs[*key].changes;
+            return self.jobs[*key].latest_change;
         }
         let waits = self
             .strays
             .iter()
-            .any(|stray| stray.told.task().step.job == job);
+            .any(|orphan| orphan.report.task().step.job == job);
         if waits { UNKNOWN_CHANGE } else { 0 }
     }
 
     /// Takes what was told of the runs of a job that has just been read.
-    pub(crate) fn meet_strays(&mut self, id: JobId, now: Millis) {
-        let is_of_job = |stray: &Stray| stray.told.task().step.job == id;
-        let strays: Vec<_> = self
+    pub(crate) fn resolve_orphans(&mut self, id: JobId, now: Millis) {
+        let is_of_job = |orphan: &OrphanedRun| orphan.report.task().step.job == id;
+        let orphans: Vec<_> = self
             .strays
             .iter()
             .filter(|s| is_of_job(s))
             .cloned()
             .collect();
-        if strays.is_empty() {
+        if orphans.is_empty() {
             return;
         }
-        self.strays.retain(|stray| !is_of_job(stray));
+        self.strays.retain(|orphan| !is_of_job(orphan));
         self.jobs[self.job_keys[&id]].inherited = true;
         // As while taking over: what is told of the job's runs is all that is known of them.
-        let settled = self.recovery.reopen();
-        for stray in &strays {
-            self.meet_stray(stray, now);
+        let settled = self.recovery.mark_incomplete();
+        for orphan in &orphans {
+            self.resolve_orphan(orphan, now);
         }
-        self.settle_changes(id);
-        self.recovery.close_again(settled);
+        self.assign_end_changes(id);
+        self.recovery.restore_completion(settled);
         if settled {
-            self.close_torn_gangs(now);
+            self.stop_incomplete_gangs(now);
         }
     }
 
-    fn meet_stray(&mut self, stray: &Stray, now: Millis) {
-        let (task, run) = (stray.told.task(), stray.told.run());
-        self.note_begun(task.step.job);
-        let worker = self.workers.get(stray.worker);
+    fn resolve_orphan(&mut self, orphan: &OrphanedRun, now: Millis) {
+        let (task, run) = (orphan.report.task(), orphan.report.run());
+        self.mark_job_started(task.step.job);
+        let worker = self.workers.get(orphan.worker);
         let is_held = worker.is_some_and(|worker| worker.runs.contains_key(&(task, run)));
-        let ending = match &stray.told {
-            Told::Running(listed) if is_held => {
-                self.adopt_or_stop(stray.worker, listed, now);
+        let ending = match &orphan.report {
+            RunReport::Running(listed) if is_held => {
+                self.adopt_or_stop(orphan.worker, listed, now);
                 return;
             }
-            Told::Running(_) => Ending::without_report("absent"),
-            Told::Ended(ended) => Ending::from(ended),
+            RunReport::Running(_) => RunTermination::inferred("absent"),
+            RunReport::Ended(ended) => RunTermination::from(ended),
         };
         if worker.is_some() {
-            self.end_run(stray.worker, task, run, ending, now);
+            self.end_run(orphan.worker, task, run, ending, now);
         } else {
             let outcome = ending.outcome();
-            self.account(stray.worker, task, run, outcome, ending.checkpoint, now);
+            self.record_run_end(orphan.worker, task, run, outcome, ending.checkpoint, now);
         }
     }
 
     /// Gives up waiting for the jobs of runs that were told of before all that is stored was read.
-    pub(crate) fn give_up_strays(&mut self, now: Millis) {
+    pub(crate) fn discard_orphans(&mut self, now: Millis) {
         let read_at = self.jobs_read_at;
         let (over, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.strays)
             .into_iter()
-            .partition(|stray| stray.heard_at < read_at);
+            .partition(|orphan| orphan.reported_at < read_at);
         self.strays = waiting;
-        for stray in over {
-            let (task, run) = (stray.told.task(), stray.told.run());
-            if self.workers.contains_key(stray.worker) {
-                self.stop_run(stray.worker, task, run, StopReason::Unwanted, now);
+        for orphan in over {
+            let (task, run) = (orphan.report.task(), orphan.report.run());
+            if self.workers.contains_key(orphan.worker) {
+                self.stop_run(orphan.worker, task, run, StopReason::Unwanted, now);
             }
-            self.settle_changes(task.step.job);
+            self.assign_end_changes(task.step.job);
         }
     }
 
     /// Lets the ends of a job be acknowledged once the store has what followed from them.
-    fn settle_changes(&mut self, job: JobId) {
-        let change = self.change_with_end(job);
+    fn assign_end_changes(&mut self, job: JobId) {
+        let change = self.change_covering_end(job);
         for worker in self.workers.values_mut() {
             let waiting = worker.unacknowledged.iter_mut();
             for end in waiting.filter(|end| end.job == job && end.change == UNKNOWN_CHANGE) {
--- a/crates/sched/src/place.rs
+++ b/crates/sched/src/place.rs
@@ -15,7 +15,7 @@
 use crate::job::Reservation;
 use crate::job::Unit;
 use crate::job::UnitState;
-use crate::units::Place;
+use crate::units::UnitRef;
 use crate::worker::Phase;
 use crate::worker::Worker;
 use crate::worker::WorkerRun;
@@ -29,11 +29,11 @@
         self.measure_headroom(now);
         for (_urgency, job, step) in self.waiting_steps(now) {
             if self.jobs[job].steps[step].spec.gang {
-                self.serve_gang(job, step, now);
+                self.schedule_gang(job, step, now);
             } else {
                 self.serve_tasks(job, step, now);
             }
-            self.tell_waiting(job, step, now);
+            self.log_waiting(job, step, now);
         }
         std::mem::take(&mut self.actions)
     }
@@ -56,7 +56,7 @@
             }
             let fitting = self.fitting(job, step, unit, &allowed, now);
             if self.jobs[job].steps[step].units[unit].crashes() > 0 && !fitting.is_empty() {
-                self.start_suspect(Place { job, step, unit }, &fitting, now);
+                self.start_suspect(UnitRef { job, step, unit }, &fitting, now);
                 continue;
             }
             if let Some(worker) = self.pick(job, step, &fitting, now) {
@@ -74,11 +74,14 @@
                 continue;
             }
             // What does not fit for one does not fit for the next, unless this one is choosy.
-            if self.jobs[job].steps[step].units[unit].avoid.is_empty() {
+            if self.jobs[job].steps[step].units[unit]
+                .avoided_workers
+                .is_empty()
+            {
                 break;
             }
         }
-        if self.jobs[job].steps[step].pending > 0 {
+        if self.jobs[job].steps[step].pending_units > 0 {
             self.ask_for_tasks(job, step, now);
         }
     }
@@ -114,7 +117,7 @@
             choice.retain(|key| !self.awaits_upkeep(*key));
         }
         choice.retain(takes_in);
-        let need = spec.room();
+        let need = spec.reserved_resources();
         let serves = spec.tail_limit_ms.is_some();
         choice.into_iter().min_by_key(|key| {
             let worker = &self.workers[*key];
@@ -133,7 +136,7 @@
         allowed: &[WorkerKey],
         now: Millis,
     ) -> Vec<WorkerKey> {
-        let need = self.jobs[job].steps[step].spec.room();
+        let need = self.jobs[job].steps[step].spec.reserved_resources();
         let avoid = self.avoided(job, step, unit, now);
         let is_suspected = self.jobs[job].steps[step].units[unit].crashes() > 0;
         let mut fitting = Vec::new();
@@ -166,7 +169,7 @@
         if waited_ms > self.options.avoid_ms {
             return &[];
         }
-        &of_step.units[unit].avoid
+        &of_step.units[unit].avoided_workers
     }
 
     /// Says whether a worker may run another task of a step: what runs there and what room is kept
@@ -198,7 +201,7 @@
     ) -> bool {
         let of_job = &self.jobs[job];
         let priority = of_job.spec.policy.priority;
-        let need = of_job.steps[step].spec.room();
+        let need = of_job.steps[step].spec.reserved_resources();
         let avoid = self.avoided(job, step, unit, now);
         let mut best: Option<(WorkerKey, Victims)> = None;
         for key in allowed {
@@ -237,7 +240,7 @@
         now: Millis,
     ) {
         let of_step = &self.jobs[job].steps[step];
-        let need = of_step.spec.room();
+        let need = of_step.spec.reserved_resources();
         let isolated = of_step.units[unit].is_isolated();
         let suspected = of_step.units[unit].crashes() > 0;
         for (worker, count) in &workers {
@@ -258,14 +261,14 @@
 
     /// Gives up the room that is kept for a unit.
     pub(crate) fn release_reservation(&mut self, job: JobKey, step: usize, unit: usize) {
-        self.take_back_announced(Place { job, step, unit });
+        self.take_back_announced(UnitRef { job, step, unit });
         self.free_reserved(job, step, unit);
     }
 
     /// Frees the room that is kept for a unit.
     pub(crate) fn free_reserved(&mut self, job: JobKey, step: usize, unit: usize) {
         let of_step = &mut self.jobs[job].steps[step];
-        let need = of_step.spec.room();
+        let need = of_step.spec.reserved_resources();
         let Some(reservation) = of_step.units[unit].reservation.take() else {
             return;
         };
@@ -306,7 +309,7 @@
         now: Millis,
     ) {
         let of_step = &self.jobs[job].steps[step];
-        let need = of_step.spec.room();
+        let need = of_step.spec.reserved_resources();
         let Some(reservation) = &of_step.units[unit].reservation else {
             return;
         };
@@ -321,7 +324,7 @@
         if fits && self.may_share(worker, job, step, unit) {
             if !self.has_ticket(job, step, worker, now) {
                 self.ask_again(job, step, &[worker], now);
-            } else if self.is_announced(Place { job, step, unit }) {
+            } else if self.is_announced(UnitRef { job, step, unit }) {
                 self.free_reserved(job, step, unit);
                 self.start_unit(job, step, unit, &[worker], now);
                 return;
@@ -358,13 +361,13 @@
         workers: &[WorkerKey],
         now: Millis,
     ) {
-        let place = Place {
+        let place = UnitRef {
             job: job_key,
             step: step_index,
             unit: unit_index,
         };
         if self.unit_mut(place).is_proved_guilty() {
-            self.fail_if_spent(place, now);
+            self.fail_if_exhausted(place, now);
             return;
         }
         let id = self.step_id(job_key, step_index);
@@ -379,16 +382,16 @@
         let job = &mut self.jobs[job_key];
         let step = &mut job.steps[step_index];
         let unit = &mut step.units[unit_index];
-        let run = match unit.announced.take() {
-            Some(_) => unit.started,
-            None => unit.started.max(unit.accounted).next(),
+        let run = match unit.start_intent.take() {
+            Some(_) => unit.last_started,
+            None => unit.last_started.max(unit.last_accounted).next(),
         };
-        unit.started = run;
+        unit.last_started = run;
         unit.state = UnitState::Placed {
             run,
             members: workers.iter().copied().map(Some).collect(),
         };
-        step.pending -= 1;
+        step.pending_units -= 1;
         for (member, worker) in workers.iter().enumerate() {
             let task = self.jobs[job_key].steps[step_index].task_at(id, unit_index, member);
             self.start_member(job_key, step_index, *worker, task, run, now);
@@ -416,7 +419,7 @@
         let held = WorkerRun {
             probation: Probation::of(blame),
             ticket: ticket.clone(),
-            resumed: of_step.resumes(task.index),
+            resumed: of_step.resumes_from_checkpoint(task.index),
             ..WorkerRun::starting(&of_step.spec, of_job.spec.policy.priority, now)
         };
         self.headroom.take(held.resources.cpu_millis);
--- a/crates/sched/src/placed.rs
+++ b/crates/sched/src/placed.rs
@@ -29,7 +29,7 @@
         let names = kept.workers.iter();
         let workers = names.map(|name| (!name.as_str().is_empty()).then(|| name.clone()));
         Self {
-            run: kept.started,
+            run: kept.last_started,
             workers: workers.collect(),
         }
     }
@@ -61,7 +61,7 @@
 {
     let before = &unit.placed_before;
     let mut names: Vec<_> = match (&unit.state, &unit.reservation) {
-        (UnitState::Placed { members, run } | UnitState::Closing { members, run, .. }, _) => {
+        (UnitState::Placed { members, run } | UnitState::Stopping { members, run, .. }, _) => {
             // Of a predecessor's start, members that were not found may have taken their workers down.
             let not_found = |member| {
                 let workers = before.workers.get(member).filter(|_| *run == before.run);
@@ -73,7 +73,7 @@
             };
             members.map(name).collect()
         }
-        (_, Some(reservation)) if unit.announced.is_some() => {
+        (_, Some(reservation)) if unit.start_intent.is_some() => {
             reservation.members().map(name_of).collect()
         }
         _ => before.workers.clone(),
--- a/crates/sched/src/pools.rs
+++ b/crates/sched/src/pools.rs
@@ -69,7 +69,7 @@
 
     /// Brings VMs to services that lack room, and sends idle ones back.
     pub(crate) fn watch_pools(&mut self, now: Millis) {
-        if self.pools.standby.is_empty() || !self.recovery.is_settled() {
+        if self.pools.standby.is_empty() || !self.recovery.is_complete() {
             return;
         }
         let demands = self.demands(now);
@@ -116,11 +116,11 @@
         for key in &self.open {
             let job = &self.jobs[*key];
             for (index, step) in job.steps.iter().enumerate() {
-                if step.pending == 0 || !job.is_ready(index, now) {
+                if step.pending_units == 0 || !job.is_ready(index, now) {
                     continue;
                 }
-                let tasks = step.pending.saturating_mul(step.members());
-                let waiting = step.spec.room().saturating_mul(tasks);
+                let tasks = step.pending_units.saturating_mul(step.members());
+                let waiting = step.spec.reserved_resources().saturating_mul(tasks);
                 let service = job.spec.policy.service.clone();
                 let demand = demands.entry(service).or_default();
                 demand.waiting = demand.waiting.saturating_add(&waiting);
--- a/crates/sched/src/progress.rs
+++ b/crates/sched/src/progress.rs
@@ -93,13 +93,13 @@
     pub failures: u32,
     /// Number of its latest start.
     #[serde(rename = "r", skip_serializing_if = "is_no_run")]
-    pub started: Run,
+    pub last_started: Run,
     /// Number of the latest start whose end is in this record.
     #[serde(rename = "a", skip_serializing_if = "is_no_run")]
-    pub accounted: Run,
+    pub last_accounted: Run,
     /// Number of the latest start that counts as failed.
     #[serde(rename = "x", skip_serializing_if = "is_no_run")]
-    pub failed: Run,
+    pub last_failed: Run,
     /// Where it can go on from.
     #[serde(rename = "c", skip_serializing_if = "SmolStr::is_empty")]
     pub checkpoint: SmolStr,
@@ -123,10 +123,10 @@
     pub run: Run,
     /// Those for which nothing else could be blamed.
     #[serde(rename = "a", skip_serializing_if = "is_zero_u32")]
-    pub alone: u32,
+    pub sole_suspect: u32,
     /// Whether the task had been on one of them for longer than a start takes to show what it does.
     #[serde(rename = "l", skip_serializing_if = "is_false")]
-    pub late: bool,
+    pub after_startup: bool,
 }
 
 #[expect(
--- a/crates/sched/src/rebirth.rs
+++ b/crates/sched/src/rebirth.rs
@@ -105,7 +105,7 @@
             run: placed,
             members,
         }
-        | UnitState::Closing {
+        | UnitState::Stopping {
             run: placed,
             members,
             ..
@@ -136,10 +136,10 @@
                 && let Some(step) = self.jobs[job].steps.get_mut(step)
             {
                 let unit = &mut step.units[unit];
-                unit.lapsed = unit.lapsed.max(run);
+                unit.last_lapsed = unit.last_lapsed.max(run);
             }
             let checkpoint = held.checkpoint;
-            self.account(meant_for, task, run, Outcome::Interrupted, checkpoint, now);
+            self.record_run_end(meant_for, task, run, Outcome::Interrupted, checkpoint, now);
         }
     }
 }
--- a/crates/sched/src/recovery.rs
+++ b/crates/sched/src/recovery.rs
@@ -11,7 +11,7 @@
 use crate::ids::JobKey;
 use crate::job::Outcome;
 use crate::job::UnitState;
-use crate::units::Place;
+use crate::units::UnitRef;
 
 /// A predecessor's clock may be slower than this one's by so much within the time that it starts jobs.
 const CLOCK_SLACK_MS: u64 = 50;
@@ -20,17 +20,17 @@
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Recovery {
     /// Workers that may run something unknown.
-    waiting: BTreeSet<WorkerId>,
+    unreported_workers: BTreeSet<WorkerId>,
     /// When everything unknown has surely ended.
-    over_at: Millis,
+    leases_expired_at: Millis,
     /// When this scheduler was chosen, where that is told.
-    chosen_at: Option<Millis>,
+    elected_at: Option<Millis>,
     /// When the predecessor surely gives no orders any more.
-    predecessor_over_at: Millis,
+    authority_ends_at: Millis,
     /// When predecessors surely start nothing any more that they learned of since they were fenced off.
-    new_jobs_over_at: Millis,
+    new_job_starts_end_at: Millis,
     begun: bool,
-    settled: bool,
+    is_complete: bool,
     /// Whether some worker never told what ran on it: runs may have been started there that nobody knows of.
     is_partial: bool,
     pub(crate) adopted: usize,
@@ -38,48 +38,48 @@
 
 impl Recovery {
     /// Takes note that a worker has told what runs on it.
-    pub(crate) fn heard(&mut self, worker: &WorkerId) {
-        self.waiting.remove(worker);
+    pub(crate) fn worker_reported(&mut self, worker: &WorkerId) {
+        self.unreported_workers.remove(worker);
     }
 
     /// Takes note that nothing can run on a worker any more.
-    pub(crate) fn gone(&mut self, worker: &WorkerId) {
-        let was_waited_for = self.waiting.remove(worker);
+    pub(crate) fn worker_gone(&mut self, worker: &WorkerId) {
+        let was_waited_for = self.unreported_workers.remove(worker);
         self.is_partial |= was_waited_for;
     }
 
     /// Says whether a predecessor may have read, and started, a job that comes after all jobs stored before a time
     /// have been read.
-    fn may_know(&self, jobs_read_at: Millis, prove: bool) -> bool {
+    fn predecessor_may_know(&self, jobs_read_at: Millis, prove: bool) -> bool {
         let over_at = if prove {
-            self.new_jobs_over_at
+            self.new_job_starts_end_at
         } else {
-            self.predecessor_over_at
+            self.authority_ends_at
         };
         self.begun && jobs_read_at < over_at
     }
 
     /// Takes it for a moment that something that runs is unknown. Returns whether nothing was.
-    pub(crate) const fn reopen(&mut self) -> bool {
-        std::mem::replace(&mut self.settled, false)
+    pub(crate) const fn mark_incomplete(&mut self) -> bool {
+        std::mem::replace(&mut self.is_complete, false)
     }
 
-    /// Goes back to what was known before [`Recovery::reopen`].
-    pub(crate) const fn close_again(&mut self, settled: bool) {
-        self.settled = settled;
+    /// Goes back to what was known before [`Recovery::mark_incomplete`].
+    pub(crate) const fn restore_completion(&mut self, settled: bool) {
+        self.is_complete = settled;
     }
 
     /// Says whether nothing that runs is unknown.
-    pub(crate) const fn is_settled(&self) -> bool {
-        self.settled
+    pub(crate) const fn is_complete(&self) -> bool {
+        self.is_complete
     }
 }
 
 impl Scheduler {
     /// Takes note of when this scheduler was chosen: its predecessor's authority ends a bounded time after that.
     /// Without a call, it counts from the beginning of the takeover on.
-    pub const fn set_chosen(&mut self, chosen_at: Millis) {
-        self.recovery.chosen_at = Some(chosen_at);
+    pub const fn set_elected_at(&mut self, elected_at: Millis) {
+        self.recovery.elected_at = Some(elected_at);
     }
 
     /// Begins the takeover, once the restored jobs and the registered workers are known.
@@ -87,19 +87,19 @@
     /// Jobs that were restored, or that the predecessor may know all the same, start nothing before every worker
     /// has told what runs on it, or the leases that a predecessor may have set have lapsed.
     pub fn begin_recovery(&mut self, now: Millis) {
-        let mut waiting = BTreeSet::new();
+        let mut unreported_workers = BTreeSet::new();
         for worker in self.workers.values() {
             if !worker.answered {
-                waiting.insert(worker.spec.id.clone());
+                unreported_workers.insert(worker.spec.id.clone());
             }
         }
         for key in &self.open {
             for step in &self.jobs[*key].steps {
                 for unit in &step.units {
                     // What of an accounted start is left has been dealt with where its worker is gone.
-                    if unit.started > unit.accounted {
+                    if unit.last_started > unit.last_accounted {
                         let workers = unit.placed_before.workers.iter();
-                        waiting.extend(workers.flatten().cloned());
+                        unreported_workers.extend(workers.flatten().cloned());
                     }
                 }
             }
@@ -109,55 +109,55 @@
         for worker in self.workers.values_mut() {
             worker.lapse_at = worker.lapse_at.max(now.plus(bound_ms));
         }
-        let chosen_at = self.recovery.chosen_at;
+        let elected_at = self.recovery.elected_at;
         self.recovery = Recovery {
-            waiting,
-            over_at: now.plus(bound_ms),
-            chosen_at,
-            new_jobs_over_at: now.plus(self.options.job_authority_ms + CLOCK_SLACK_MS),
-            predecessor_over_at: chosen_at.unwrap_or(now).plus(self.options.authority_ms),
+            unreported_workers,
+            leases_expired_at: now.plus(bound_ms),
+            elected_at,
+            new_job_starts_end_at: now.plus(self.options.job_authority_ms + CLOCK_SLACK_MS),
+            authority_ends_at: elected_at.unwrap_or(now).plus(self.options.authority_ms),
             begun: true,
-            settled: false,
+            is_complete: false,
             is_partial: false,
             adopted: self.recovery.adopted,
         };
-        self.recover(now);
+        self.try_complete_recovery(now);
     }
 
     /// Says whether the takeover is complete.
     #[must_use]
     pub const fn is_recovered(&self) -> bool {
-        self.recovery.is_settled()
+        self.recovery.is_complete()
     }
 
     /// Completes the takeover when it can be.
-    pub(crate) fn recover(&mut self, now: Millis) {
+    pub(crate) fn try_complete_recovery(&mut self, now: Millis) {
         let recovery = &mut self.recovery;
-        if !recovery.begun || recovery.settled {
+        if !recovery.begun || recovery.is_complete {
             return;
         }
-        let unanswered = recovery.waiting.len();
-        if unanswered > 0 && now < recovery.over_at {
+        let unanswered = recovery.unreported_workers.len();
+        if unanswered > 0 && now < recovery.leases_expired_at {
             return;
         }
-        recovery.settled = true;
+        recovery.is_complete = true;
         recovery.is_partial |= unanswered > 0;
         let adopted = recovery.adopted;
         self.actions.push(Action::Note(Note::Recovered {
             adopted,
             unanswered,
         }));
-        self.close_torn_gangs(now);
-        self.give_up_unknown_runs(now);
+        self.stop_incomplete_gangs(now);
+        self.expire_unknown_runs(now);
     }
 
     /// Takes it that a predecessor may have started a job that has just been read, if it may have read it too.
     ///
     /// Such a job waits as those that were restored do. Started at once, its task ran on two workers.
-    pub(crate) fn inherit_if_known_before(&mut self, job: JobKey) {
+    pub(crate) fn inherit_if_known_to_predecessor(&mut self, job: JobKey) {
         if self
             .recovery
-            .may_know(self.jobs_read_at, self.predecessors_prove)
+            .predecessor_may_know(self.jobs_read_at, self.predecessors_prove)
         {
             self.jobs[job].inherited = true;
         }
@@ -169,21 +169,21 @@
     /// store, so there is at most one such run of a task, and its number is the one after the latest whose end is
     /// stored. It is stored as used before the next number is: so no number names two runs, also if this scheduler
     /// has a successor soon.
-    fn give_up_unknown_runs(&mut self, now: Millis) {
+    fn expire_unknown_runs(&mut self, now: Millis) {
         if !self.recovery.is_partial {
             return;
         }
         let keys: Vec<_> = self.open.iter().copied().collect();
         for key in keys {
-            self.give_up_unknown_runs_of(key, now);
+            self.expire_unknown_runs_of_job(key, now);
         }
     }
 
     /// Does so for one job, once the takeover is complete.
-    pub(crate) fn give_up_unknown_runs_of(&mut self, job: JobKey, now: Millis) {
-        let is_over = self.recovery.settled && self.recovery.is_partial;
-        let of_job = &self.jobs[job];
-        if !is_over || !of_job.inherited || of_job.state.is_terminal() {
+    pub(crate) fn expire_unknown_runs_of_job(&mut self, job: JobKey, now: Millis) {
+        let is_over = self.recovery.is_complete && self.recovery.is_partial;
+        let job_state = &self.jobs[job];
+        if !is_over || !job_state.inherited || job_state.state.is_terminal() {
             return;
         }
         for step in 0..self.jobs[job].steps.len() {
@@ -191,25 +191,25 @@
                 continue;
             }
             for unit in 0..self.jobs[job].steps[step].units.len() {
-                let place = Place { job, step, unit };
-                self.give_up_unknown_run(place, now);
+                let unit_ref = UnitRef { job, step, unit };
+                self.expire_unknown_run(unit_ref, now);
             }
         }
     }
 
-    fn give_up_unknown_run(&mut self, place: Place, now: Millis) {
-        let unit = self.unit_mut(place);
+    fn expire_unknown_run(&mut self, unit_ref: UnitRef, now: Millis) {
+        let unit = self.unit_mut(unit_ref);
         if unit.state != UnitState::Pending {
             return;
         }
-        let run = unit.accounted.next();
-        unit.lapsed = run;
-        self.jobs[place.job].steps[place.step].pending -= 1;
-        self.settle(place, run, Outcome::Interrupted, now);
+        let run = unit.last_accounted.next();
+        unit.last_lapsed = run;
+        self.jobs[unit_ref.job].steps[unit_ref.step].pending_units -= 1;
+        self.record_outcome(unit_ref, run, Outcome::Interrupted, now);
     }
 
     /// Ends the gangs of which not every member was found.
-    pub(crate) fn close_torn_gangs(&mut self, now: Millis) {
+    pub(crate) fn stop_incomplete_gangs(&mut self, now: Millis) {
         let mut torn = Vec::new();
         for key in &self.open {
             for (step_index, step) in self.jobs[*key].steps.iter().enumerate() {
@@ -218,18 +218,18 @@
                         continue;
                     };
                     if members.iter().any(Option::is_none) {
-                        let place = Place {
+                        let unit_ref = UnitRef {
                             job: *key,
                             step: step_index,
                             unit: unit_index,
                         };
-                        torn.push((place, *run, members.clone()));
+                        torn.push((unit_ref, *run, members.clone()));
                     }
                 }
             }
         }
-        for (place, run, found) in torn {
-            self.close(place, run, Outcome::Interrupted, found, now);
+        for (unit_ref, run, found) in torn {
+            self.stop_gang(unit_ref, run, Outcome::Interrupted, found, now);
         }
     }
 }
--- a/crates/sched/src/reports.rs
+++ b/crates/sched/src/reports.rs
@@ -7,6 +7,7 @@
 use crate::EndReport;
 use crate::JobId;
 use crate::JobState;
+use crate::LatestRun;
 use crate::Note;
 use crate::Run;
 use crate::RunningReport;
@@ -18,11 +19,10 @@
 use crate::WorkerNote;
 use crate::WorkerReport;
 use crate::WorkerSpec;
-use crate::YoungestRun;
 use crate::blame::Probation;
 use crate::job::UnitState;
-use crate::strays::Told;
-use crate::units::Ending;
+use crate::orphans::RunReport;
+use crate::units::RunTermination;
 use crate::worker::Phase;
 use crate::worker::Share;
 use crate::worker::UnacknowledgedEnd;
@@ -30,7 +30,7 @@
 use crate::worker::WorkerRun;
 
 /// The members of a gang that is done have all ended after this time.
-const LAST_ENDS_MS: u64 = 1_000;
+const GANG_END_GRACE_MS: u64 = 1_000;
 
 impl Scheduler {
     pub(crate) fn worker_listed(&mut self, spec: WorkerSpec, now: Millis) {
@@ -58,11 +58,11 @@
             return;
         };
         self.workers[key].listed = false;
-        self.detach_if_over(key, now);
+        self.detach_if_idle(key, now);
     }
 
     /// Lets go of a worker that is registered no more and holds nothing.
-    pub(crate) fn detach_if_over(&mut self, key: WorkerKey, now: Millis) {
+    pub(crate) fn detach_if_idle(&mut self, key: WorkerKey, now: Millis) {
         let worker = &self.workers[key];
         if worker.listed {
             return;
@@ -83,7 +83,7 @@
             return;
         };
         self.worker_keys.remove(&worker.spec.id);
-        self.recovery.gone(&worker.spec.id);
+        self.recovery.worker_gone(&worker.spec.id);
         self.actions.push(Action::Detach { worker: key });
     }
 
@@ -101,7 +101,7 @@
         if !worker.silent {
             worker.silent = true;
             worker.silent_since = now;
-            let note = belief(worker, "silent", now);
+            let note = status_note(worker, "silent", now);
             self.actions.push(note);
         }
         self.watch_lease(key, now);
@@ -117,19 +117,19 @@
     }
 
     /// Takes everything that ran on a worker as ended without a result.
-    pub(crate) fn lose_runs(&mut self, key: WorkerKey, how: &'static str, now: Millis) {
+    pub(crate) fn lose_runs(&mut self, key: WorkerKey, reason: &'static str, now: Millis) {
         let runs: Vec<_> = self.workers[key].runs.keys().copied().collect();
         if !runs.is_empty() {
-            let note = lost(&self.workers[key], how, now);
+            let note = lost_note(&self.workers[key], reason, now);
             self.actions.push(note);
         }
         for (task, run) in runs {
-            self.end_run(key, task, run, Ending::without_report(how), now);
+            self.end_run(key, task, run, RunTermination::inferred(reason), now);
         }
     }
 
     /// Takes everything that ran on a worker as ended, since its leases have surely lapsed.
-    pub(crate) fn lapse_runs(&mut self, key: WorkerKey, now: Millis) {
+    pub(crate) fn expire_runs(&mut self, key: WorkerKey, now: Millis) {
         let worker = &self.workers[key];
         if worker.silent && !worker.listed && worker.answered {
             self.blame_for_crash(key, now);
@@ -139,7 +139,7 @@
                 continue;
             };
             let unit = &mut self.jobs[job].steps[step].units[unit];
-            unit.lapsed = unit.lapsed.max(*run);
+            unit.last_lapsed = unit.last_lapsed.max(*run);
         }
         self.lose_runs(key, "lease_lapsed", now);
     }
@@ -157,7 +157,7 @@
         if worker.silent {
             worker.silent = false;
             worker.contact.probe_soon(now);
-            let note = belief(worker, "answers", now);
+            let note = status_note(worker, "answers", now);
             self.actions.push(note);
             self.doubt_room(key, now);
         }
@@ -172,15 +172,15 @@
         worker.last_answer_at = now;
         let id = worker.spec.id.clone();
         for ended in &report.ended {
-            self.end_listed(key, ended, now);
+            self.handle_reported_end(key, ended, now);
         }
         for running in &report.running {
-            self.run_listed(key, running, now);
+            self.handle_reported_run(key, running, now);
         }
         // What is not listed may be among the ends that are not: taken as gone, what is done would start again.
         if !report.has_more_ends {
-            self.end_absent(key, sent_at, report, now);
-            self.recovery.heard(&id);
+            self.end_missing_runs(key, sent_at, report, now);
+            self.recovery.worker_reported(&id);
         }
         self.pace_fills(key, now);
         self.judge_slowness(key, now);
@@ -189,34 +189,34 @@
     /// Takes note that a worker has told of a run of a job.
     ///
     /// An order alone says nothing: its worker may be cut off, and the job waits all the while.
-    pub(crate) fn note_begun(&mut self, id: JobId) {
+    pub(crate) fn mark_job_started(&mut self, id: JobId) {
         let Some(key) = self.job_keys.get(&id).copied() else {
             return;
         };
-        if self.jobs[key].begun {
+        if self.jobs[key].has_started {
             return;
         }
-        self.jobs[key].begin();
+        self.jobs[key].mark_started();
         self.begun_lately.insert(key);
     }
 
-    fn end_listed(&mut self, key: WorkerKey, ended: &EndReport, now: Millis) {
+    fn handle_reported_end(&mut self, key: WorkerKey, ended: &EndReport, now: Millis) {
         let worker = &mut self.workers[key];
         if ended.number <= worker.handled_end {
             return;
         }
         worker.handled_end = ended.number;
         let job_id = ended.task.step.job;
-        if self.keep_stray(key, Told::Ended(ended.clone()), now) {
+        if self.hold_orphan(key, RunReport::Ended(ended.clone()), now) {
             self.workers[key].remove(ended.task, ended.run);
         } else {
-            self.note_begun(job_id);
+            self.mark_job_started(job_id);
             if let Some(held) = self.workers[key].runs.get(&(ended.task, ended.run)) {
                 self.clear_step(ended.task, held.held_since);
             }
-            self.end_run(key, ended.task, ended.run, Ending::from(ended), now);
+            self.end_run(key, ended.task, ended.run, RunTermination::from(ended), now);
         }
-        let change = self.change_with_end(job_id);
+        let change = self.change_covering_end(job_id);
         self.workers[key]
             .unacknowledged
             .push_back(UnacknowledgedEnd {
@@ -226,42 +226,43 @@
             });
     }
 
-    fn run_listed(&mut self, key: WorkerKey, listed: &RunningReport, now: Millis) {
+    fn handle_reported_run(&mut self, key: WorkerKey, listed: &RunningReport, now: Millis) {
         let worker = &mut self.workers[key];
-        let Some(of_run) = worker.runs.get_mut(&(listed.task, listed.run)) else {
+        let Some(held_run) = worker.runs.get_mut(&(listed.task, listed.run)) else {
             self.adopt_or_stop(key, listed, now);
             return;
         };
-        let was_in_doubt = of_run.phase == Phase::Starting;
-        let ordered_at = of_run.ordered_at;
+        let was_in_doubt = held_run.phase == Phase::Starting;
+        let ordered_at = held_run.ordered_at;
         if was_in_doubt {
-            of_run.phase = Phase::Running;
+            held_run.phase = Phase::Running;
         }
-        let is_news = of_run.confirmed_at.is_none();
-        of_run.confirmed_at.get_or_insert(now);
-        of_run.note_percent(listed.percent, now);
-        if of_run.checkpoint != listed.checkpoint {
-            of_run.checkpoint = listed.checkpoint.clone();
+        let is_news = held_run.confirmed_at.is_none();
+        held_run.confirmed_at.get_or_insert(now);
+        held_run.note_percent(listed.percent, now);
+        if held_run.checkpoint != listed.checkpoint {
+            held_run.checkpoint = listed.checkpoint.clone();
         }
-        self.take_load(key, listed);
+        self.update_load(key, listed);
         self.watch_probation(key, (listed.task, listed.run), now);
         if was_in_doubt {
             self.order_taken(key, ordered_at, now);
         }
         if is_news {
-            self.note_begun(listed.task.step.job);
+            self.mark_job_started(listed.task.step.job);
         }
-        let of_run = &self.workers[key].runs[&(listed.task, listed.run)];
-        let stopped_long = now.since(of_run.ordered_at) > self.options.stop_ms * 2;
-        if of_run.phase == Phase::Stopping && of_run.stop_taken_at.is_some() && stopped_long {
+        let held_run = &self.workers[key].runs[&(listed.task, listed.run)];
+        let stopped_long = now.since(held_run.ordered_at) > self.options.stop_ms * 2;
+        if held_run.phase == Phase::Stopping && held_run.stop_taken_at.is_some() && stopped_long {
             self.order_stop(key, listed.task, listed.run, StopReason::Unwanted, now);
-        } else if of_run.phase == Phase::Running && !self.is_wanted(listed.task, listed.run, now) {
+        } else if held_run.phase == Phase::Running && !self.is_wanted(listed.task, listed.run, now)
+        {
             self.stop_run(key, listed.task, listed.run, StopReason::Unwanted, now);
         }
     }
 
     fn is_wanted(&self, task: TaskId, run: Run, now: Millis) -> bool {
-        if self.ends_by_itself(task, now) || self.is_stray(task, run) {
+        if self.ends_by_itself(task, now) || self.is_orphan(task, run) {
             return true;
         }
         let Some((job, step, unit, _member)) = self.locate(task) else {
@@ -285,40 +286,46 @@
         };
         let job = &self.jobs[*key];
         let ended_at = job.ended_at.filter(|_| job.state == JobState::Completed);
-        ended_at.is_some_and(|at| now.since(at) <= LAST_ENDS_MS)
+        ended_at.is_some_and(|at| now.since(at) <= GANG_END_GRACE_MS)
     }
 
     /// Ends the runs that a worker should list and does not.
     ///
     /// A report can be older than the answer to an order, so only what the worker knew when the
     /// renewal was sent counts.
-    fn end_absent(&mut self, key: WorkerKey, sent_at: Millis, report: &WorkerReport, now: Millis) {
+    fn end_missing_runs(
+        &mut self,
+        key: WorkerKey,
+        sent_at: Millis,
+        report: &WorkerReport,
+        now: Millis,
+    ) {
         let listed: std::collections::BTreeSet<_> = report
             .running
             .iter()
             .map(|running| (running.task, running.run))
             .collect();
         let mut absent = Vec::new();
-        for (name, of_run) in &self.workers[key].runs {
+        for (name, held_run) in &self.workers[key].runs {
             if listed.contains(name) {
                 continue;
             }
             let known_before = |at: Option<Millis>| at.is_some_and(|at| at < sent_at);
-            if of_run.listed
-                || known_before(of_run.confirmed_at)
-                || known_before(of_run.stop_taken_at)
+            if held_run.listed
+                || known_before(held_run.confirmed_at)
+                || known_before(held_run.stop_taken_at)
             {
                 absent.push(*name);
             }
         }
         for (task, run) in absent {
-            self.end_run(key, task, run, Ending::without_report("absent"), now);
+            self.end_run(key, task, run, RunTermination::inferred("absent"), now);
         }
     }
 
     /// Takes over a run that the predecessor started, or stops what nobody wants.
     pub(crate) fn adopt_or_stop(&mut self, key: WorkerKey, listed: &RunningReport, now: Millis) {
-        self.note_begun(listed.task.step.job);
+        self.mark_job_started(listed.task.step.job);
         let held = WorkerRun {
             phase: Phase::Running,
             orders: 0,
@@ -332,8 +339,8 @@
             ..self.unordered_run(key, listed.task, now)
         };
         self.workers[key].insert(listed.task, listed.run, held);
-        self.take_load(key, listed);
-        if self.keep_stray(key, Told::Running(listed.clone()), now) {
+        self.update_load(key, listed);
+        if self.hold_orphan(key, RunReport::Running(listed.clone()), now) {
             return;
         }
         if self.adopt(key, listed.task, listed.run) {
@@ -372,7 +379,7 @@
     }
 
     /// Takes the rough figure that a worker gives of a run.
-    fn take_load(&mut self, key: WorkerKey, listed: &RunningReport) {
+    fn update_load(&mut self, key: WorkerKey, listed: &RunningReport) {
         let run = self.workers[key].runs.get_mut(&(listed.task, listed.run));
         match run.map(|run| &mut run.share) {
             Some(Share::Serves { tail_ms, .. }) => *tail_ms = listed.load,
@@ -385,7 +392,7 @@
         let Some((job_key, step, unit, member)) = self.locate(task) else {
             return false;
         };
-        let settled = self.recovery.is_settled();
+        let settled = self.recovery.is_complete();
         let job = &mut self.jobs[job_key];
         if job.state.is_terminal() {
             return false;
@@ -399,7 +406,7 @@
             return false;
         }
         let unit = &mut step.units[unit];
-        if run <= unit.accounted {
+        if run <= unit.last_accounted {
             return false;
         }
         match &mut unit.state {
@@ -410,7 +417,7 @@
                     run,
                     members: placed,
                 };
-                step.pending -= 1;
+                step.pending_units -= 1;
             }
             UnitState::Placed {
                 run: placed_run,
@@ -420,29 +427,29 @@
             }
             _ => return false,
         }
-        unit.started = unit.started.max(run);
+        unit.last_started = unit.last_started.max(run);
         true
     }
 }
 
-fn lost(worker: &Worker, how: &'static str, now: Millis) -> Action {
-    let youngest = worker.runs.iter().max_by_key(|(_, run)| run.held_since);
-    let youngest = youngest.map(|((task, run), held)| YoungestRun {
+fn lost_note(worker: &Worker, reason: &'static str, now: Millis) -> Action {
+    let latest_run = worker.runs.iter().max_by_key(|(_, run)| run.held_since);
+    let latest_run = latest_run.map(|((task, run), held)| LatestRun {
         task: *task,
         run: *run,
         seen_ms: worker.last_answer_at.since(held.held_since),
     });
     worker.note(WorkerNote::Lost {
-        how,
+        reason,
         silent_ms: now.since(worker.last_answer_at),
         runs: worker.runs.len(),
-        youngest,
+        latest_run,
     })
 }
 
-pub(crate) fn belief(worker: &Worker, belief: &'static str, now: Millis) -> Action {
-    worker.note(WorkerNote::Belief {
-        belief,
+pub(crate) fn status_note(worker: &Worker, status: &'static str, now: Millis) -> Action {
+    worker.note(WorkerNote::StatusChanged {
+        status,
         silent_ms: now.since(worker.last_answer_at),
     })
 }
--- a/crates/sched/src/keeping.rs
+++ b/crates/sched/src/retention.rs
@@ -35,21 +35,21 @@
 /// When the end of a job was first written down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct EndStamp {
-    pub(crate) cell: CellTime,
+    pub(crate) cell_time: CellTime,
     /// For people.
-    pub(crate) day: TimeOfDay,
+    pub(crate) wall_time: TimeOfDay,
 }
 
 /// The cell's time: where predecessors left it, and since when this scheduler counts on.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct CellClock {
     base: CellTime,
-    from: Millis,
+    started_at: Millis,
 }
 
 impl CellClock {
     pub(crate) fn read(self, now: Millis) -> CellTime {
-        self.base.plus(now.since(self.from))
+        self.base.plus(now.since(self.started_at))
     }
 
     /// Returns the point of the steady clock at a time of the cell, as far as its origin.
@@ -62,23 +62,23 @@
     /// Takes over the cell's time, and all jobs that have ended, so that their state can be asked.
     ///
     /// Everything that predecessors wrote must have been read before `now`, and nothing of them can follow.
-    pub fn restore_ended(&mut self, ended: &[EndedJob], now: Millis) {
+    pub fn restore_ended_jobs(&mut self, ended: &[EndedJob], now: Millis) {
         let stamps: BTreeSet<CellTime> = ended.iter().filter_map(|job| job.ended_at).collect();
         let latest = stamps.last().copied().unwrap_or_default();
         self.cell_clock = CellClock {
             base: latest,
-            from: now,
+            started_at: now,
         };
         for job in ended {
             if self.job_keys.contains_key(&job.id) {
                 continue;
             }
-            let shown_at = job.ended_at.map_or(latest, |at| shown_by(&stamps, at));
-            self.insert_ended(job, shown_at, now);
+            let shown_at = job.ended_at.map_or(latest, |at| visible_by(&stamps, at));
+            self.insert_ended_job(job, shown_at, now);
         }
     }
 
-    fn insert_ended(&mut self, ended: &EndedJob, shown_at: CellTime, now: Millis) {
+    fn insert_ended_job(&mut self, ended: &EndedJob, shown_at: CellTime, now: Millis) {
         let spec = JobSpec {
             id: ended.id,
             payload: SmolStr::default(),
@@ -89,21 +89,21 @@
         };
         let mut job = Job::new(spec, now, self.day);
         job.state = ended.state;
-        job.shown = ended.state;
+        job.visible_state = ended.state;
         job.ended_at = Some(self.cell_clock.steady_at(shown_at, now));
-        job.shown_ended_at = Some(shown_at);
+        job.end_visible_at = Some(shown_at);
         let key = self.jobs.insert(job);
         self.job_keys.insert(ended.id, key);
     }
 
     /// Removes what is kept of jobs that ended long ago.
-    pub(crate) fn forget_old(&mut self, now: Millis) {
+    pub(crate) fn forget_expired_jobs(&mut self, now: Millis) {
         let keep_ms = self.options.status_ms;
         let cell_now = self.cell_clock.read(now);
         let mut old = Vec::new();
         for (key, job) in &self.jobs {
             if job
-                .shown_ended_at
+                .end_visible_at
                 .is_some_and(|at| cell_now.since(at) > keep_ms)
             {
                 old.push(key);
@@ -123,7 +123,7 @@
 
 /// Returns by when an end was surely shown. A record is made before the store has it, and the next one after
 /// that: until it is there, the end counts as shown only now.
-fn shown_by(stamps: &BTreeSet<CellTime>, written_at: CellTime) -> CellTime {
+fn visible_by(stamps: &BTreeSet<CellTime>, written_at: CellTime) -> CellTime {
     let later = CellTime(written_at.0.saturating_add(1))..;
     stamps.range(later).next().copied().unwrap_or(written_at)
 }
--- a/crates/sched/src/rooms.rs
+++ b/crates/sched/src/rooms.rs
@@ -8,7 +8,7 @@
 
 use crate::Scheduler;
 use crate::WorkerKey;
-use crate::reports::belief;
+use crate::reports::status_note;
 use crate::worker::Worker;
 
 /// Most of the time between two reads in which registrations are taken to lapse: for longer, the store may have been
@@ -55,7 +55,7 @@
             since: now,
             read_from_ms: None,
         });
-        let note = belief(worker, "room_in_doubt", now);
+        let note = status_note(worker, "room_in_doubt", now);
         self.actions.push(note);
     }
 
@@ -76,7 +76,7 @@
                 continue;
             }
             worker.room_doubt = None;
-            let note = belief(worker, "room_known", now);
+            let note = status_note(worker, "room_known", now);
             self.actions.push(note);
         }
     }
--- a/crates/sched/src/scheduler.rs
+++ b/crates/sched/src/scheduler.rs
@@ -31,15 +31,15 @@
 use crate::ids::JobKey;
 use crate::job::Job;
 use crate::job::UnitState;
-use crate::keeping::CellClock;
-use crate::keeping::EndStamp;
+use crate::orphans::OrphanedRun;
 use crate::pacing::Disturbance;
 use crate::pools::Pools;
 use crate::proof::Proof;
 use crate::rebirth::Misdirected;
 use crate::recovery::Recovery;
+use crate::retention::CellClock;
+use crate::retention::EndStamp;
 use crate::rooms::Registrations;
-use crate::strays::Stray;
 use crate::upkeep::Upkeep;
 use crate::vms::Vms;
 use crate::worker::Phase;
@@ -82,7 +82,7 @@
     pub(crate) queues: HashMap<SmolStr, QueueStats>,
     pub(crate) recovery: Recovery,
     /// Runs of jobs that have not been read yet, and the time before which all that was stored has been.
-    pub(crate) strays: Vec<Stray>,
+    pub(crate) strays: Vec<OrphanedRun>,
     pub(crate) jobs_read_at: Millis,
     /// When workers went silent that are gone, the latest ones.
     pub(crate) silences: VecDeque<Millis>,
@@ -171,7 +171,7 @@
             Event::Renewing { worker } => self.renewing(worker, now),
             Event::RenewalFailed { worker } => self.renewal_failed(worker, now),
             Event::Replaced { worker } => self.replaced(worker, now),
-            Event::Reborn { worker } => self.reborn(worker, now),
+            Event::Restarted { worker } => self.reborn(worker, now),
             Event::StartAnswered {
                 worker,
                 task,
@@ -220,10 +220,10 @@
     pub fn state_of(&self, id: JobId) -> Option<JobState> {
         let key = self.job_keys.get(&id)?;
         let job = &self.jobs[*key];
-        if !job.shown.is_terminal() && job.begun {
+        if !job.visible_state.is_terminal() && job.has_started {
             return Some(JobState::Running);
         }
-        Some(job.shown)
+        Some(job.visible_state)
     }
 
     /// Returns the queue of a job.
@@ -238,7 +238,7 @@
     #[must_use]
     pub fn pending_jobs(&self, queue: &str) -> usize {
         let open = self.open.iter().map(|key| &self.jobs[*key]);
-        open.filter(|job| !job.begun && job.spec.policy.queue == queue)
+        open.filter(|job| !job.has_started && job.spec.policy.queue == queue)
             .count()
     }
 
@@ -273,7 +273,7 @@
         day: TimeOfDay,
     ) -> Vec<(JobId, u64, JobProgress)> {
         let mut records = Vec::new();
-        let cell = self.cell_clock.read(now);
+        let cell_time = self.cell_clock.read(now);
         while records.len() < limit {
             let Some(key) = self.next_to_write() else {
                 break;
@@ -282,11 +282,14 @@
                 continue;
             };
             if job.state.is_terminal() {
-                job.ended.get_or_insert(EndStamp { cell, day });
+                job.end_stamp.get_or_insert(EndStamp {
+                    cell_time,
+                    wall_time: day,
+                });
             }
             let job = &self.jobs[key];
             let progress = job.progress(|worker| self.name_of(worker));
-            records.push((job.id(), job.changes, progress));
+            records.push((job.id(), job.latest_change, progress));
         }
         records
     }
@@ -314,10 +317,10 @@
         };
         let recorded = |id: JobId| {
             if let Some(key) = job_keys.get(&id) {
-                return jobs[*key].recorded;
+                return jobs[*key].recorded_change;
             }
             let mut strays = strays.iter();
-            if strays.any(|stray| stray.told.task().step.job == id) {
+            if strays.any(|stray| stray.report.task().step.job == id) {
                 return 0;
             }
             // Of a job that is forgotten, nothing has to be kept.
@@ -338,7 +341,7 @@
         }
         self.day = Some(day);
         for key in &self.open {
-            self.jobs[*key].set_day(day);
+            self.jobs[*key].set_wall_clock(day);
         }
     }
 
@@ -374,7 +377,7 @@
         let id = spec.id;
         if let Some(key) = self.job_keys.get(&id) {
             // A repeated submit of a job that has ended leaves its specification behind.
-            if self.jobs[*key].shown.is_terminal() {
+            if self.jobs[*key].visible_state.is_terminal() {
                 self.actions.push(Action::DropSpec(id));
             }
             return;
@@ -382,10 +385,10 @@
         let accepted_at = Millis(now.0.saturating_sub(age_ms));
         let key = self.insert_open(Job::new(spec, accepted_at, self.day), now);
         self.jobs_added += 1;
-        self.jobs[key].number = self.jobs_added;
-        self.inherit_if_known_before(key);
-        self.meet_strays(id, now);
-        self.give_up_unknown_runs_of(key, now);
+        self.jobs[key].arrival_number = self.jobs_added;
+        self.inherit_if_known_to_predecessor(key);
+        self.resolve_orphans(id, now);
+        self.expire_unknown_runs_of_job(key, now);
     }
 
     fn insert_open(&mut self, job: Job, now: Millis) -> JobKey {
@@ -405,7 +408,7 @@
             return;
         };
         let job = &self.jobs[key];
-        if job.shown.is_terminal() {
+        if job.visible_state.is_terminal() {
             // A cancelling that comes after the end leaves its record behind.
             self.actions.push(Action::DropSpec(id));
         }
@@ -418,9 +421,9 @@
     /// Marks a job as changed and returns the number of the change.
     pub(crate) fn changed(&mut self, key: JobKey) -> u64 {
         let job = &mut self.jobs[key];
-        job.changes += 1;
+        job.latest_change += 1;
         self.dirty.insert(key);
-        job.changes
+        job.latest_change
     }
 
     /// Ends a job: what runs of it is stopped, and nothing of it starts any more.
@@ -465,12 +468,12 @@
                 continue;
             };
             let job = &mut self.jobs[key];
-            job.recorded = job.recorded.max(*change);
-            let complete = job.recorded == job.changes;
+            job.recorded_change = job.recorded_change.max(*change);
+            let complete = job.recorded_change == job.latest_change;
             if job.state.is_terminal() {
-                if complete && !job.shown.is_terminal() {
-                    job.shown = job.state;
-                    job.shown_ended_at = Some(cell_now);
+                if complete && !job.visible_state.is_terminal() {
+                    job.visible_state = job.state;
+                    job.end_visible_at = Some(cell_now);
                     job.steps = Vec::new();
                     job.spec.payload = SmolStr::default();
                     self.actions.push(Action::DropSpec(*id));
@@ -484,7 +487,7 @@
     /// Lets the outcomes take effect that the store has.
     fn settle_units(&mut self, key: JobKey) {
         let job = &mut self.jobs[key];
-        let recorded = job.recorded;
+        let recorded = job.recorded_change;
         for step in &mut job.steps {
             for unit in &mut step.units {
                 let UnitState::Recording { outcome, change } = unit.state else {
@@ -495,11 +498,11 @@
                 }
                 if outcome == crate::job::Outcome::Done {
                     unit.state = UnitState::Done;
-                    step.left -= 1;
+                    step.unfinished_units -= 1;
                     continue;
                 }
                 unit.state = UnitState::Pending;
-                step.pending += 1;
+                step.pending_units += 1;
                 step.ready_at = None;
             }
         }
@@ -508,7 +511,7 @@
     /// Finds the job, step, unit and member of a task.
     pub(crate) fn locate(&self, task: TaskId) -> Option<(JobKey, usize, usize, usize)> {
         let key = *self.job_keys.get(&task.step.job)?;
-        let index = self.jobs[key].index_of(task.step)?;
+        let index = self.jobs[key].step_index(task.step)?;
         let step = self.jobs[key].steps.get(index)?;
         let (unit, member) = step.unit_of(task.index)?;
         Some((key, index, unit, member))
--- a/crates/sched/src/slowness.rs
+++ b/crates/sched/src/slowness.rs
@@ -16,7 +16,7 @@
 use crate::WorkerKey;
 use crate::WorkerNote;
 use crate::job::Step;
-use crate::units::Place;
+use crate::units::UnitRef;
 use crate::worker::Phase;
 use crate::worker::WorkerRun;
 use crate::worker::fits;
@@ -66,7 +66,7 @@
 struct Lag {
     task: TaskId,
     run: Run,
-    place: Place,
+    place: UnitRef,
     whole_ms: u64,
     /// What is left of it, and what of it would be elsewhere, in hundredths.
     left_percent: u64,
@@ -98,7 +98,7 @@
     fn usual_ms(&self, beside: &[usize]) -> Option<u64> {
         let units = self.units.iter().enumerate();
         let elsewhere = units.filter(|(index, _)| !beside.contains(index));
-        let known = elsewhere.filter_map(|(_, unit)| unit.whole_ms);
+        let known = elsewhere.filter_map(|(_, unit)| unit.expected_run_ms);
         let mut others: Vec<_> = known.take(OTHERS_LIMIT).collect();
         if others.len() < LEAST_OTHERS {
             return None;
@@ -164,14 +164,14 @@
             lags.push(Lag {
                 task: *task,
                 run: *run,
-                place: Place { job, step, unit },
+                place: UnitRef { job, step, unit },
                 whole_ms,
                 left_percent,
                 elsewhere_percent: if held.checkpointed { left_percent } else { 100 },
             });
         }
         for lag in &lags {
-            self.unit_mut(lag.place).whole_ms = Some(lag.whole_ms);
+            self.unit_mut(lag.place).expected_run_ms = Some(lag.whole_ms);
         }
         lags
     }
@@ -229,7 +229,7 @@
 
     /// Returns the time that the rest of a run should take on another worker.
     fn elsewhere_ms(&self, lag: &Lag) -> u64 {
-        let Place { job, step, unit } = lag.place;
+        let UnitRef { job, step, unit } = lag.place;
         let of_step = &self.jobs[job].steps[step];
         let usual_ms = of_step.usual_ms(&[unit]);
         let whole_ms = usual_ms.unwrap_or(of_step.spec.estimate_ms);
@@ -237,10 +237,10 @@
     }
 
     /// Says whether a task may move once more, and others have room for it.
-    fn take_move(&mut self, place: Place, from: WorkerKey, now: Millis) -> bool {
-        let Place { job, step, .. } = place;
+    fn take_move(&mut self, place: UnitRef, from: WorkerKey, now: Millis) -> bool {
+        let UnitRef { job, step, .. } = place;
         let of_step = &self.jobs[job].steps[step];
-        let need = of_step.spec.room();
+        let need = of_step.spec.reserved_resources();
         let label = of_step.spec.required_label.as_ref();
         let eligible = self.eligible(label, &self.jobs[job], now);
         let mut others = eligible.into_iter().filter(|key| *key != from);
--- a/crates/sched/src/spec.rs
+++ b/crates/sched/src/spec.rs
@@ -89,7 +89,7 @@
 impl StepSpec {
     /// Returns what a task takes of a worker's room.
     #[must_use]
-    pub fn room(&self) -> Resources {
+    pub fn reserved_resources(&self) -> Resources {
         if self.fills {
             return Resources {
                 cpu_millis: 0,
@@ -100,7 +100,7 @@
     }
 
     /// Returns how many of its tasks one worker may run.
-    pub(crate) fn limit_on_a_worker(&self) -> u32 {
+    pub(crate) fn max_tasks_per_worker(&self) -> u32 {
         self.tasks_per_worker.unwrap_or(self.tasks).min(self.tasks)
     }
 }
@@ -174,7 +174,7 @@
 impl Schedule {
     /// Returns how often the steps run.
     #[must_use]
-    pub const fn times(&self) -> u32 {
+    pub const fn occurrence_count(&self) -> u32 {
         if self.occurrences == 0 {
             1
         } else {
@@ -234,13 +234,13 @@
         if self.steps.is_empty() || self.steps.len() > STEPS_LIMIT {
             findings.push(SpecFinding::new(None, "a job has 1 to 1,000 steps"));
         }
-        let times = usize::try_from(self.schedule.times()).unwrap_or(usize::MAX);
+        let times = usize::try_from(self.schedule.occurrence_count()).unwrap_or(usize::MAX);
         if self.steps.len().saturating_mul(times) > STEPS_LIMIT {
             let text = "the steps of all occurrences together are 1,000 at most";
             findings.push(SpecFinding::new(None, text));
         }
         let tasks: u64 = self.steps.iter().map(|step| u64::from(step.tasks)).sum();
-        if tasks.saturating_mul(u64::from(self.schedule.times())) > JOB_TASKS_LIMIT {
+        if tasks.saturating_mul(u64::from(self.schedule.occurrence_count())) > JOB_TASKS_LIMIT {
             let text = "the tasks of all steps and occurrences together are 50,000 at most";
             findings.push(SpecFinding::new(None, text));
         }
--- a/crates/sched/src/suspects.rs
+++ b/crates/sched/src/suspects.rs
@@ -20,10 +20,10 @@
 use crate::blame::Crash;
 use crate::blame::YOUNG_MS;
 use crate::ids::JobKey;
-use crate::job::Announced;
+use crate::job::StartIntent;
 use crate::job::Step;
 use crate::job::UnitState;
-use crate::units::Place;
+use crate::units::UnitRef;
 
 /// Of a run that was not isolated, nothing else is blamed only where its worker went silent within this time.
 const SUDDEN_MS: u64 = 100;
@@ -174,7 +174,7 @@
             worker: crash.worker,
             crashes: blame.count.workers,
             alone: crash.alone,
-            there_ms: crash.there_ms,
+            present_ms: crash.there_ms,
         };
         self.actions.push(Action::Note(note));
         self.changed(job);
@@ -254,8 +254,8 @@
     }
 
     /// Keeps room for a task that workers crashed under on the worker that has least to lose.
-    pub(crate) fn start_suspect(&mut self, place: Place, fitting: &[WorkerKey], now: Millis) {
-        let Place { job, step, unit } = place;
+    pub(crate) fn start_suspect(&mut self, place: UnitRef, fitting: &[WorkerKey], now: Millis) {
+        let UnitRef { job, step, unit } = place;
         let open = fitting.iter().filter(|key| self.workers[**key].takes_in());
         let least = open.min_by_key(|key| {
             let worker = &self.workers[**key];
@@ -270,30 +270,33 @@
 
     /// Says whether a unit may be started where room is kept for it: of one that is suspected, the store has to know
     /// where. So a successor knows what to blame if a worker crashes under it while nobody is the scheduler.
-    pub(crate) fn is_announced(&mut self, place: Place) -> bool {
-        let Place { job, step, unit } = place;
+    pub(crate) fn is_announced(&mut self, place: UnitRef) -> bool {
+        let UnitRef { job, step, unit } = place;
         let of_unit = &self.jobs[job].steps[step].units[unit];
         if of_unit.crashes() == 0 {
             return true;
         }
-        if let Some(announced) = of_unit.announced {
-            return self.jobs[job].recorded >= announced.change;
+        if let Some(announced) = of_unit.start_intent {
+            return self.jobs[job].recorded_change >= announced.change;
         }
-        let before = of_unit.started;
+        let before = of_unit.last_started;
         let change = self.changed(job);
         let of_unit = self.unit_mut(place);
-        of_unit.started = before.max(of_unit.accounted).next();
-        of_unit.announced = Some(Announced { before, change });
+        of_unit.last_started = before.max(of_unit.last_accounted).next();
+        of_unit.start_intent = Some(StartIntent {
+            previous_run: before,
+            change,
+        });
         false
     }
 
     /// Takes back what was announced of a unit: it is not started there.
-    pub(crate) fn take_back_announced(&mut self, place: Place) {
+    pub(crate) fn take_back_announced(&mut self, place: UnitRef) {
         let of_unit = self.unit_mut(place);
-        let Some(announced) = of_unit.announced.take() else {
+        let Some(announced) = of_unit.start_intent.take() else {
             return;
         };
-        of_unit.started = announced.before;
+        of_unit.last_started = announced.previous_run;
         self.changed(place.job);
     }
 }
--- a/crates/sched/src/units.rs
+++ b/crates/sched/src/units.rs
@@ -21,7 +21,7 @@
 
 /// Where a unit is: its job, and the positions of its step and of itself.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Place {
+pub(crate) struct UnitRef {
     pub(crate) job: JobKey,
     pub(crate) step: usize,
     pub(crate) unit: usize,
@@ -29,16 +29,16 @@
 
 /// How a run ended, by report or by conclusion.
 #[derive(Debug, Clone)]
-pub(crate) struct Ending {
-    pub(crate) how: &'static str,
+pub(crate) struct RunTermination {
+    pub(crate) reason: &'static str,
     pub(crate) end: Option<RunEnd>,
     pub(crate) checkpoint: SmolStr,
 }
 
-impl Ending {
-    pub(crate) const fn without_report(how: &'static str) -> Self {
+impl RunTermination {
+    pub(crate) const fn inferred(reason: &'static str) -> Self {
         Self {
-            how,
+            reason,
             end: None,
             checkpoint: SmolStr::new_static(""),
         }
@@ -53,10 +53,10 @@
     }
 }
 
-impl From<&EndReport> for Ending {
+impl From<&EndReport> for RunTermination {
     fn from(report: &EndReport) -> Self {
         Self {
-            how: report.end.as_str(),
+            reason: report.end.as_str(),
             end: Some(report.end),
             checkpoint: report.checkpoint.clone(),
         }
@@ -70,7 +70,7 @@
         key: WorkerKey,
         task: TaskId,
         run: Run,
-        ending: Ending,
+        ending: RunTermination,
         now: Millis,
     ) {
         let worker = &mut self.workers[key];
@@ -89,12 +89,12 @@
             checkpoint = held.map_or_else(SmolStr::default, |held| held.checkpoint);
         }
         let noted_at = self.actions.len();
-        let failures = self.account(key, task, run, outcome, checkpoint, now);
+        let failures = self.record_run_end(key, task, run, outcome, checkpoint, now);
         let note = Note::RunEnded {
             task,
             run,
             worker: worker_id,
-            end: ending.how,
+            end: ending.reason,
             failures,
             held_ms,
         };
@@ -103,7 +103,7 @@
     }
 
     /// Tells a unit that a member's run has ended. Returns the unit's failed runs.
-    pub(crate) fn account(
+    pub(crate) fn record_run_end(
         &mut self,
         worker: WorkerKey,
         task: TaskId,
@@ -124,62 +124,69 @@
         let unit = &mut step.units[unit_index];
         unit.placed_before.ended(member, run);
         let is_closing =
-            matches!(unit.state, UnitState::Closing { run: closing, .. } if closing == run);
+            matches!(unit.state, UnitState::Stopping { run: closing, .. } if closing == run);
         if job.state.is_terminal() {
             return unit.failures;
         }
-        let place = Place {
+        let unit_ref = UnitRef {
             job: job_key,
             step: step_index,
             unit: unit_index,
         };
         if outcome == Outcome::Done {
-            self.finish(place, worker, member, run, now);
-            return self.unit_mut(place).failures;
+            self.complete_unit(unit_ref, worker, member, run, now);
+            return self.unit_mut(unit_ref).failures;
         }
-        if run <= unit.accounted && !is_closing {
-            return self.count_late_failure(place, run, outcome, now);
+        if run <= unit.last_accounted && !is_closing {
+            return self.count_late_failure(unit_ref, run, outcome, now);
         }
-        unit.started = unit.started.max(run);
+        unit.last_started = unit.last_started.max(run);
         if !checkpoint.is_empty() {
             unit.checkpoint = checkpoint;
         }
         // Tasks that last may fail at any time; where one failed says nothing of the next.
-        if failed_here && !lasts && !unit.avoid.contains(&worker) {
-            unit.avoid.push(worker);
+        if failed_here && !lasts && !unit.avoided_workers.contains(&worker) {
+            unit.avoided_workers.push(worker);
         }
         let is_placed = unit.is_placed_at(worker, member, run);
         match &mut unit.state {
             UnitState::Placed { members, .. } if is_placed => {
                 members[member] = None;
                 if members.iter().all(Option::is_none) {
-                    self.settle(place, run, outcome, now);
+                    self.record_outcome(unit_ref, run, outcome, now);
                 } else {
                     let others = members.clone();
-                    self.close(place, run, outcome, others, now);
+                    self.stop_gang(unit_ref, run, outcome, others, now);
                 }
             }
-            UnitState::Closing { members, .. } if is_closing => {
+            UnitState::Stopping { members, .. } if is_closing => {
                 members[member] = None;
-                self.close_further(place, run, outcome, now);
+                self.record_member_end(unit_ref, run, outcome, now);
             }
             // A predecessor started it, or a copy of an order that was taken as refused: it ran all the same.
             UnitState::Pending => {
-                step.pending -= 1;
-                self.settle(place, run, outcome, now);
+                step.pending_units -= 1;
+                self.record_outcome(unit_ref, run, outcome, now);
             }
             // Another run of it goes on. Taken for the end of that one, this end had the task run twice.
-            _ => return self.count_late_failure(place, run, outcome, now),
+            _ => return self.count_late_failure(unit_ref, run, outcome, now),
         }
-        self.unit_mut(place).failures
+        self.unit_mut(unit_ref).failures
     }
 
     /// Takes a unit as done, whichever of its runs was: nothing of it may start once that end is acknowledged.
     ///
     /// An end that is acknowledged only after the lease has lapsed proves nothing.
-    fn finish(&mut self, place: Place, worker: WorkerKey, member: usize, run: Run, now: Millis) {
-        let unit = self.unit_mut(place);
-        if unit.is_done() || run <= unit.lapsed {
+    fn complete_unit(
+        &mut self,
+        unit_ref: UnitRef,
+        worker: WorkerKey,
+        member: usize,
+        run: Run,
+        now: Millis,
+    ) {
+        let unit = self.unit_mut(unit_ref);
+        if unit.is_done() || run <= unit.last_lapsed {
             return;
         }
         let other = match &unit.state {
@@ -189,57 +196,63 @@
             _ => None,
         };
         if unit.state == UnitState::Pending {
-            self.jobs[place.job].steps[place.step].pending -= 1;
-            self.release_reservation(place.job, place.step, place.unit);
+            self.jobs[unit_ref.job].steps[unit_ref.step].pending_units -= 1;
+            self.release_reservation(unit_ref.job, unit_ref.step, unit_ref.unit);
         }
-        self.settle(place, run, Outcome::Done, now);
+        self.record_outcome(unit_ref, run, Outcome::Done, now);
         if let Some(other) = other {
-            self.stop_members(place, other, StopReason::Unwanted, now);
+            self.stop_members(unit_ref, other, StopReason::Unwanted, now);
         }
     }
 
     /// Counts a failure of a run that was taken as ended for another reason: of a gang, the broken
     /// members can be listed before the failed one. Returns the unit's failed runs.
-    fn count_late_failure(&mut self, place: Place, run: Run, outcome: Outcome, now: Millis) -> u32 {
-        let unit = self.unit_mut(place);
-        if outcome != Outcome::Failed || run <= unit.failed || unit.is_done() {
+    fn count_late_failure(
+        &mut self,
+        unit_ref: UnitRef,
+        run: Run,
+        outcome: Outcome,
+        now: Millis,
+    ) -> u32 {
+        let unit = self.unit_mut(unit_ref);
+        if outcome != Outcome::Failed || run <= unit.last_failed || unit.is_done() {
             return unit.failures;
         }
-        unit.failed = run;
+        unit.last_failed = run;
         unit.failures += 1;
         let failures = unit.failures;
-        self.changed(place.job);
-        self.fail_if_spent(place, now);
+        self.changed(unit_ref.job);
+        self.fail_if_exhausted(unit_ref, now);
         failures
     }
 
     /// Begins to end a gang's run, a member of which has ended.
     ///
     /// The outcome is recorded at once, so that the member's worker may forget the end.
-    pub(crate) fn close(
+    pub(crate) fn stop_gang(
         &mut self,
-        place: Place,
+        unit_ref: UnitRef,
         run: Run,
         outcome: Outcome,
         others: Vec<Option<WorkerKey>>,
         now: Millis,
     ) {
-        self.unit_mut(place).state = UnitState::Closing {
+        self.unit_mut(unit_ref).state = UnitState::Stopping {
             run,
             members: others,
             outcome,
         };
-        self.count_outcome(place, run, outcome);
-        self.changed(place.job);
-        if !self.fail_if_spent(place, now) {
-            self.stop_members(place, run, StopReason::GangBroken, now);
+        self.count_outcome(unit_ref, run, outcome);
+        self.changed(unit_ref.job);
+        if !self.fail_if_exhausted(unit_ref, now) {
+            self.stop_members(unit_ref, run, StopReason::GangBroken, now);
         }
     }
 
     /// Takes the end of a further member into account.
-    fn close_further(&mut self, place: Place, run: Run, outcome: Outcome, now: Millis) {
-        let unit = self.unit_mut(place);
-        let UnitState::Closing {
+    fn record_member_end(&mut self, unit_ref: UnitRef, run: Run, outcome: Outcome, now: Millis) {
+        let unit = self.unit_mut(unit_ref);
+        let UnitState::Stopping {
             members,
             outcome: so_far,
             ..
@@ -251,82 +264,88 @@
         // The end of one member breaks the others: the failed one may be listed after them.
         if outcome == Outcome::Failed && *so_far == Outcome::Interrupted {
             *so_far = Outcome::Failed;
-            self.count_outcome(place, run, outcome);
-            self.changed(place.job);
-            if self.fail_if_spent(place, now) {
+            self.count_outcome(unit_ref, run, outcome);
+            self.changed(unit_ref.job);
+            if self.fail_if_exhausted(unit_ref, now) {
                 return;
             }
         }
         if all_ended {
-            let change = self.changed(place.job);
+            let change = self.changed(unit_ref.job);
             let outcome = Outcome::Interrupted;
-            self.unit_mut(place).state = UnitState::Recording { outcome, change };
+            self.unit_mut(unit_ref).state = UnitState::Recording { outcome, change };
         }
     }
 
-    pub(crate) fn unit_mut(&mut self, place: Place) -> &mut Unit {
-        &mut self.jobs[place.job].steps[place.step].units[place.unit]
+    pub(crate) fn unit_mut(&mut self, unit_ref: UnitRef) -> &mut Unit {
+        &mut self.jobs[unit_ref.job].steps[unit_ref.step].units[unit_ref.unit]
     }
 
-    fn count_outcome(&mut self, place: Place, run: Run, outcome: Outcome) {
-        let unit = self.unit_mut(place);
-        unit.accounted = unit.accounted.max(run);
-        unit.started = unit.started.max(run);
+    fn count_outcome(&mut self, unit_ref: UnitRef, run: Run, outcome: Outcome) {
+        let unit = self.unit_mut(unit_ref);
+        unit.last_accounted = unit.last_accounted.max(run);
+        unit.last_started = unit.last_started.max(run);
         unit.placed_before.forget_before(run);
-        if outcome == Outcome::Failed && run > unit.failed {
-            unit.failed = run;
+        if outcome == Outcome::Failed && run > unit.last_failed {
+            unit.last_failed = run;
             unit.failures += 1;
         }
     }
 
     /// Ends the job if a unit of it has failed too often, or surely takes its workers down.
-    pub(crate) fn fail_if_spent(&mut self, place: Place, now: Millis) -> bool {
-        let limit = self.jobs[place.job].spec.policy.attempts_limit.max(1);
-        let unit = self.unit_mut(place);
+    pub(crate) fn fail_if_exhausted(&mut self, unit_ref: UnitRef, now: Millis) -> bool {
+        let limit = self.jobs[unit_ref.job].spec.policy.attempts_limit.max(1);
+        let unit = self.unit_mut(unit_ref);
         let is_guilty = unit.is_proved_guilty();
         let crashes = unit.crashes();
         let spent = unit.failures >= limit || is_guilty;
         if is_guilty {
-            let step = self.step_id(place.job, place.step);
-            let task = self.jobs[place.job].steps[place.step].task_at(step, place.unit, 0);
-            let note = Note::TaskGivenUp { task, crashes };
+            let step = self.step_id(unit_ref.job, unit_ref.step);
+            let task = self.jobs[unit_ref.job].steps[unit_ref.step].task_at(step, unit_ref.unit, 0);
+            let note = Note::TaskAbandoned { task, crashes };
             self.actions.push(Action::Note(note));
         }
         if spent {
-            self.end_job(place.job, JobState::Failed, now);
+            self.end_job(unit_ref.job, JobState::Failed, now);
         }
         spent
     }
 
     /// Notes the outcome of a unit's run; it takes effect once the store has it.
-    pub(crate) fn settle(&mut self, place: Place, run: Run, outcome: Outcome, now: Millis) {
-        self.count_outcome(place, run, outcome);
-        let change = self.changed(place.job);
-        self.unit_mut(place).state = UnitState::Recording { outcome, change };
+    pub(crate) fn record_outcome(
+        &mut self,
+        unit_ref: UnitRef,
+        run: Run,
+        outcome: Outcome,
+        now: Millis,
+    ) {
+        self.count_outcome(unit_ref, run, outcome);
+        let change = self.changed(unit_ref.job);
+        self.unit_mut(unit_ref).state = UnitState::Recording { outcome, change };
         if outcome == Outcome::Done {
-            let steps = &self.jobs[place.job].steps;
+            let steps = &self.jobs[unit_ref.job].steps;
             let all_done = steps
                 .iter()
                 .all(|step| step.units.iter().all(Unit::is_done));
             if all_done {
-                self.end_job(place.job, JobState::Completed, now);
+                self.end_job(unit_ref.job, JobState::Completed, now);
             }
         } else {
-            self.fail_if_spent(place, now);
+            self.fail_if_exhausted(unit_ref, now);
         }
     }
 
     /// Stops what still holds room of a run of a unit.
-    fn stop_members(&mut self, place: Place, run: Run, reason: StopReason, now: Millis) {
-        let step = self.step_id(place.job, place.step);
-        let of_step = &self.jobs[place.job].steps[place.step];
+    fn stop_members(&mut self, unit_ref: UnitRef, run: Run, reason: StopReason, now: Millis) {
+        let step = self.step_id(unit_ref.job, unit_ref.step);
+        let step_state = &self.jobs[unit_ref.job].steps[unit_ref.step];
         let mut stops = Vec::new();
         for (worker, held) in &self.workers {
-            for ((task, of_run), state) in held.runs_of(step) {
-                let is_of_unit = of_step
+            for ((task, held_run), state) in held.runs_of(step) {
+                let is_of_unit = step_state
                     .unit_of(task.index)
-                    .is_some_and(|(unit, _)| unit == place.unit);
-                if is_of_unit && *of_run == run && state.phase != Phase::Stopping {
+                    .is_some_and(|(unit, _)| unit == unit_ref.unit);
+                if is_of_unit && *held_run == run && state.phase != Phase::Stopping {
                     stops.push((worker, *task));
                 }
             }
--- a/crates/sched/src/upkeep.rs
+++ b/crates/sched/src/upkeep.rs
@@ -162,7 +162,7 @@
         }
         if upkeep.completed.contains(&number) {
             // A predecessor may have ended before it told so.
-            self.actions.push(Action::TellWave {
+            self.actions.push(Action::ReportWave {
                 wave: number,
                 completed: true,
             });
@@ -180,7 +180,7 @@
         upkeep
             .open
             .insert(number, OpenWave::new(wave, left.as_ref(), age_ms, now));
-        self.actions.push(Action::TellWave {
+        self.actions.push(Action::ReportWave {
             wave: number,
             completed: false,
         });
@@ -207,7 +207,7 @@
         }
         self.upkeep.open.remove(&number);
         self.upkeep.completed.insert(number);
-        self.actions.push(Action::TellWave {
+        self.actions.push(Action::ReportWave {
             wave: number,
             completed: true,
         });
@@ -215,7 +215,7 @@
 
     /// Brings the waves forward.
     pub(crate) fn watch_waves(&mut self, now: Millis) {
-        if self.upkeep.open.is_empty() || !self.recovery.is_settled() {
+        if self.upkeep.open.is_empty() || !self.recovery.is_complete() {
             return;
         }
         self.ask_for_vms(now);
--- a/crates/sched/src/vms.rs
+++ b/crates/sched/src/vms.rs
@@ -156,7 +156,7 @@
     /// Returns a step of a job that has not ended for good.
     fn step_spec(&self, step: StepId) -> Option<&StepSpec> {
         let job = &self.jobs[*self.job_keys.get(&step.job)?];
-        let of_step = job.steps.get(job.index_of(step)?)?;
+        let of_step = job.steps.get(job.step_index(step)?)?;
         Some(&of_step.spec)
     }
 
--- a/crates/sched/src/waiting.rs
+++ b/crates/sched/src/waiting.rs
@@ -11,13 +11,13 @@
 use crate::ids::JobKey;
 
 /// A step waits this long before the log tells for what, and again after twice as long each time.
-const TELL_WAITING_MS: u64 = 1_000;
+const WAIT_LOG_INTERVAL_MS: u64 = 1_000;
 
 /// Most times that the wait to the next telling doubles.
-const TELL_DOUBLINGS: u32 = 5;
+const WAIT_LOG_DOUBLINGS_LIMIT: u32 = 5;
 
 /// A job earns a part of its worth up to this many times its objective.
-const LATE_FACTOR: u64 = 3;
+const EXPIRY_FACTOR: u64 = 3;
 
 /// What a waiting step is ordered by; the least goes first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -26,7 +26,7 @@
     ///
     /// What is late but still of use keeps its turn: served after all that is not late yet, it would become
     /// useless while it waits.
-    past_use: bool,
+    is_expired: bool,
     priority: u32,
     due_at: Millis,
     id: StepId,
@@ -36,14 +36,14 @@
     /// Returns the steps that are due and have tasks to start, the most urgent first.
     pub(crate) fn waiting_steps(&mut self, now: Millis) -> Vec<(Urgency, JobKey, usize)> {
         let mut waiting = Vec::new();
-        let settled = self.recovery.is_settled();
+        let settled = self.recovery.is_complete();
         for key in &self.open {
             let job = &self.jobs[*key];
-            if job.inherited && !settled || !self.is_proved(job.number, now) {
+            if job.inherited && !settled || !self.is_proved(job.arrival_number, now) {
                 continue;
             }
             for step in 0..job.steps.len() {
-                if job.steps[step].pending == 0 || !job.is_ready(step, now) {
+                if job.steps[step].pending_units == 0 || !job.is_ready(step, now) {
                     continue;
                 }
                 waiting.push((urgency(job, step, now), *key, step));
@@ -58,28 +58,28 @@
     }
 
     /// Tells the log now and then for what a step waits.
-    pub(crate) fn tell_waiting(&mut self, job: JobKey, step: usize, now: Millis) {
-        let of_step = &mut self.jobs[job].steps[step];
-        let last = of_step.ready_at.unwrap_or(now).max(of_step.told_at);
-        let wait_ms = TELL_WAITING_MS << of_step.tells.min(TELL_DOUBLINGS);
-        if of_step.pending == 0 || now.since(last) < wait_ms {
+    pub(crate) fn log_waiting(&mut self, job_key: JobKey, step_index: usize, now: Millis) {
+        let step = &mut self.jobs[job_key].steps[step_index];
+        let last = step.ready_at.unwrap_or(now).max(step.wait_logged_at);
+        let wait_ms = WAIT_LOG_INTERVAL_MS << step.wait_log_count.min(WAIT_LOG_DOUBLINGS_LIMIT);
+        if step.pending_units == 0 || now.since(last) < wait_ms {
             return;
         }
-        of_step.told_at = now;
-        of_step.tells += 1;
-        let note = self.waiting_note(job, step, now);
+        step.wait_logged_at = now;
+        step.wait_log_count += 1;
+        let note = self.waiting_note(job_key, step_index, now);
         self.actions.push(Action::Note(note));
     }
 
-    fn waiting_note(&self, job: JobKey, step: usize, now: Millis) -> Note {
-        let of_job = &self.jobs[job];
-        let of_step = &of_job.steps[step];
-        let required_label = of_step.spec.required_label.as_ref();
-        let eligible = self.eligible(required_label, of_job, now).len();
-        let allowed = self.allowed_now(job, step, now).len();
+    fn waiting_note(&self, job_key: JobKey, step_index: usize, now: Millis) -> Note {
+        let job = &self.jobs[job_key];
+        let step = &job.steps[step_index];
+        let required_label = step.spec.required_label.as_ref();
+        let eligible = self.eligible(required_label, job, now).len();
+        let allowed = self.allowed_now(job_key, step_index, now).len();
         let lacking = if eligible == 0 {
             "workers"
-        } else if of_step.advice.asked_at.is_some() {
+        } else if step.advice.asked_at.is_some() {
             "advice"
         } else if allowed == 0 {
             "allowed_workers"
@@ -87,15 +87,15 @@
             "room"
         };
         Note::Waiting {
-            step: self.step_id(job, step),
+            step: self.step_id(job_key, step_index),
             lacking,
             eligible,
             required_label: required_label.cloned().unwrap_or_default(),
             allowed,
-            denied: of_step.advice.denied.len(),
-            known: of_step.advice.tickets.len(),
-            hindered: self.hindered(&of_job.spec.policy.service, now),
-            tasks: of_step.pending * of_step.members(),
+            denied: step.advice.denied.len(),
+            known: step.advice.tickets.len(),
+            hindered: self.hindered(&job.spec.policy.service, now),
+            tasks: step.pending_units * step.members(),
         }
     }
 
@@ -114,21 +114,21 @@
     }
 }
 
-fn urgency(job: &crate::job::Job, step: usize, now: Millis) -> Urgency {
-    let of_step = &job.steps[step];
-    let (past_use, due_at) = if of_step.spec.long_running {
+fn urgency(job: &crate::job::Job, step_index: usize, now: Millis) -> Urgency {
+    let step = &job.steps[step_index];
+    let (is_expired, due_at) = if step.spec.long_running {
         // It should run all the time: it is due from the moment at which it does not.
-        (false, of_step.ready_at.unwrap_or(now))
+        (false, step.ready_at.unwrap_or(now))
     } else {
-        let from = job.counts_from(step);
+        let from = job.objective_from(step_index);
         let due_at = from.plus(job.objective_ms);
-        let late_at = from.plus(job.objective_ms.saturating_mul(LATE_FACTOR));
+        let late_at = from.plus(job.objective_ms.saturating_mul(EXPIRY_FACTOR));
         (now > late_at, due_at)
     };
     Urgency {
-        past_use,
+        is_expired,
         priority: job.spec.policy.priority,
         due_at,
-        id: job.step_id(step),
+        id: job.step_id(step_index),
     }
 }
--- a/crates/sched/src/watch.rs
+++ b/crates/sched/src/watch.rs
@@ -5,7 +5,7 @@
 use crate::Scheduler;
 use crate::StopReason;
 use crate::WorkerKey;
-use crate::reports::belief;
+use crate::reports::status_note;
 use crate::worker::Phase;
 
 /// Most times that the time for which a worker is quarantined doubles.
@@ -14,8 +14,8 @@
 impl Scheduler {
     /// Looks at everything that time alone changes.
     pub(crate) fn watch(&mut self, now: Millis) {
-        self.recover(now);
-        self.give_up_strays(now);
+        self.try_complete_recovery(now);
+        self.discard_orphans(now);
         self.give_up_misdirected(now);
         self.watch_headroom();
         let mut keys: Vec<_> = self.workers.keys().collect();
@@ -31,7 +31,7 @@
         self.give_up_advice(now);
         self.watch_waves(now);
         self.watch_pools(now);
-        self.forget_old(now);
+        self.forget_expired_jobs(now);
     }
 
     /// Takes what ran on a worker as ended once its leases have surely lapsed: it is silent, or they are let
@@ -39,9 +39,9 @@
     pub(crate) fn watch_lease(&mut self, key: WorkerKey, now: Millis) {
         let worker = &self.workers[key];
         if (worker.silent || worker.contact.lapsing) && worker.lapse_at <= now {
-            self.lapse_runs(key, now);
+            self.expire_runs(key, now);
         }
-        self.detach_if_over(key, now);
+        self.detach_if_idle(key, now);
     }
 
     /// Stops runs that stand still, and quarantines their worker.
@@ -66,8 +66,8 @@
         for (task, run) in stalled {
             if let Some((job, step, unit, _member)) = self.locate(task) {
                 let unit = &mut self.jobs[job].steps[step].units[unit];
-                if !unit.avoid.contains(&key) {
-                    unit.avoid.push(key);
+                if !unit.avoided_workers.contains(&key) {
+                    unit.avoided_workers.push(key);
                 }
             }
             self.stop_run(key, task, run, StopReason::Stalled, now);
@@ -106,13 +106,13 @@
         let times = 1_u64 << worker.quarantines.min(QUARANTINE_DOUBLINGS);
         worker.quarantines += 1;
         worker.quarantined_until = now.plus(self.options.quarantine_ms * times);
-        let note = belief(worker, why, now);
+        let note = status_note(worker, why, now);
         self.actions.push(note);
     }
 
     /// Moves what can go on elsewhere off a worker that is about to leave.
     pub(crate) fn move_off_draining(&mut self, key: WorkerKey, now: Millis) {
-        let note = belief(&self.workers[key], "draining", now);
+        let note = status_note(&self.workers[key], "draining", now);
         self.actions.push(note);
         let mut moves = Vec::new();
         for ((task, run), of_run) in &self.workers[key].runs {
--- a/crates/sched/src/worker.rs
+++ b/crates/sched/src/worker.rs
@@ -112,7 +112,7 @@
     /// Makes the run of a step's task that holds room from now on and has no answer yet.
     pub(crate) fn starting(spec: &StepSpec, priority: u32, now: Millis) -> Self {
         Self {
-            resources: spec.room(),
+            resources: spec.reserved_resources(),
             phase: Phase::Starting,
             held_since: now,
             ordered_at: now,
--- a/crates/sched/tests/core/advice.rs
+++ b/crates/sched/tests/core/advice.rs
@@ -29,11 +29,19 @@
     let slots = AdviceSlots { short: 1, long: 1 };
     driver.scheduler.set_advice_slots(slots);
     driver.schedule();
-    let asked: Vec<_> = driver.asks.iter().map(|(step, _)| step.job.0).collect();
+    let asked: Vec<_> = driver
+        .advice_requests
+        .iter()
+        .map(|(step, _)| step.job.0)
+        .collect();
     assert_eq!(asked, [3, 2]);
 
     driver.scheduler.set_advice_slots(slots);
     driver.schedule();
-    let asked: Vec<_> = driver.asks.iter().map(|(step, _)| step.job.0).collect();
+    let asked: Vec<_> = driver
+        .advice_requests
+        .iter()
+        .map(|(step, _)| step.job.0)
+        .collect();
     assert_eq!(asked, [3, 2, 4, 1]);
 }
--- a/crates/sched/tests/core/counts.rs
+++ b/crates/sched/tests/core/counts.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_job_whose_orders_are_not_answered_waits() {
+fn job_with_unanswered_orders_counts_as_waiting() {
     let (mut driver, order) = ordered();
     assert_eq!(waiting(&driver), 1, "nothing is known but the order");
     answer(&mut driver, &order, StartAnswer::InDoubt);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_successor_counts_a_job_of_which_only_the_order_is_known() {
+fn successor_counts_job_with_only_a_recorded_order_as_waiting() {
     let (mut driver, order) = ordered();
     answer(&mut driver, &order, StartAnswer::InDoubt);
     let written = driver
@@ -78,21 +78,21 @@
 
 /// How the worker of a run tells of it.
 #[derive(Debug, Clone, Copy)]
-enum Word {
+enum RunEvidence {
     Answered,
     Listed,
     Ended,
 }
 
-#[test_case(Word::Answered; "an answered start")]
-#[test_case(Word::Listed; "a run that is listed")]
-#[test_case(Word::Ended; "an end that is listed")]
-fn a_job_has_begun_once_its_worker_has_told_of_a_run(word: Word) {
+#[test_case(RunEvidence::Answered; "an answered start")]
+#[test_case(RunEvidence::Listed; "a run that is listed")]
+#[test_case(RunEvidence::Ended; "an end that is listed")]
+fn job_has_started_once_its_worker_reports_a_run(word: RunEvidence) {
     let (mut driver, order) = ordered();
     match word {
-        Word::Answered => answer(&mut driver, &order, StartAnswer::Started),
-        Word::Listed => driver.hold(order.worker, &[(order.task, order.run, 0)]),
-        Word::Ended => driver.end(&order, RunEnd::Failed, &[]),
+        RunEvidence::Answered => answer(&mut driver, &order, StartAnswer::Started),
+        RunEvidence::Listed => driver.report_running(order.worker, &[(order.task, order.run, 0)]),
+        RunEvidence::Ended => driver.report_end(&order, RunEnd::Failed, &[]),
     }
     assert_eq!(waiting(&driver), 0);
 }
@@ -100,7 +100,7 @@
 /// The record that is written with an order says that the job waits. With none after it, a job that was shown
 /// as running would be shown as queued after a takeover, until its worker answers.
 #[test]
-fn a_job_that_was_shown_as_running_still_is_after_a_takeover() {
+fn job_visible_as_running_stays_so_after_takeover() {
     let (mut driver, order) = ordered();
     let _with_the_order = driver
         .scheduler
--- a/crates/sched/tests/core/crashes.rs
+++ b/crates/sched/tests/core/crashes.rs
@@ -19,7 +19,7 @@
 
 fn list(driver: &mut Driver, runs: &[&StartOrder]) {
     let rows: Vec<_> = runs.iter().map(|run| (run.task, run.run, 10)).collect();
-    driver.hold(runs[0].worker, &rows);
+    driver.report_running(runs[0].worker, &rows);
 }
 
 /// Lets a job's only task take down one worker after the other. Returns how many it took.
@@ -38,14 +38,14 @@
     let mut driver = Driver::new(1, 4);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     let old = driver.start_all().remove(0);
-    driver.pass(2_000);
+    driver.advance(2_000);
     list(&mut driver, &[&old]);
     driver.submit(2, policy(0), vec![step(1, 1)]);
     let young = driver.start_all().remove(0);
     driver.crash(old.worker);
     let lost = driver.lost.remove(0);
-    assert_eq!((lost.how, lost.runs), ("replaced", 2));
-    let youngest = lost.youngest.expect("two runs were there");
+    assert_eq!((lost.reason, lost.runs), ("replaced", 2));
+    let youngest = lost.latest_run.expect("two runs were there");
     assert_eq!((youngest.task, youngest.seen_ms), (young.task, 0));
 }
 
@@ -67,15 +67,15 @@
     let mut driver = Driver::new(1, 8);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     let innocent = driver.settle().remove(0);
-    driver.pass(PROBATION_MS);
+    driver.advance(PROBATION_MS);
     list(&mut driver, &[&innocent]);
     driver.submit(2, policy(0), vec![step(1, 1)]);
     driver.settle();
     driver.crash(innocent.worker);
-    let kept = |id: u64| &driver.kept[&JobId(id)].steps[0].units[&0].crashes;
+    let kept = |id: u64| &driver.stored_progress[&JobId(id)].steps[0].units[&0].crashes;
     assert!(kept(1).is_empty());
     let count = kept(2)[&0];
-    assert_eq!((count.workers, count.alone), (1, 1));
+    assert_eq!((count.workers, count.sole_suspect), (1, 1));
 }
 
 #[test]
@@ -105,7 +105,7 @@
         .into_iter()
         .partition(|start| start.task.step.job == JobId(1));
     assert_eq!((guilty.len(), other.len()), (1, 0), "one at a time");
-    driver.pass(PROBATION_MS);
+    driver.advance(PROBATION_MS);
     list(&mut driver, &[&guilty[0]]);
     assert_eq!(driver.settle().len(), 1, "it did not take its worker down");
 }
@@ -123,7 +123,7 @@
     assert_eq!(first.task.step.job, JobId(2), "more urgent");
     driver.submit(3, policy(0), vec![step(1, 1)]);
     assert!(driver.settle().is_empty());
-    driver.pass(PROBATION_MS);
+    driver.advance(PROBATION_MS);
     list(&mut driver, &[&first]);
     let suspect = driver.settle().remove(0);
     assert_eq!(suspect.task.step.job, JobId(1));
@@ -138,7 +138,7 @@
     driver.crash(started[0].worker);
     let scout = driver.settle();
     assert_eq!(scout.len(), 1);
-    driver.pass(PROBATION_MS);
+    driver.advance(PROBATION_MS);
     list(&mut driver, &[&scout[0]]);
     assert_eq!(driver.settle().len(), 3);
 }
@@ -150,7 +150,7 @@
     let started = driver.settle();
     driver.crash(started[0].worker);
     let scout = driver.settle().remove(0);
-    driver.end(&scout, RunEnd::Done, &[]);
+    driver.report_end(&scout, RunEnd::Done, &[]);
     driver.record();
     assert_eq!(driver.settle().len(), 3);
 }
@@ -163,15 +163,15 @@
         let start = driver.settle().remove(0);
         driver.crash(start.worker);
     }
-    let left = driver.kept.remove(&JobId(1));
-    let mut successor = Driver::untried(0, 8);
+    let left = driver.stored_progress.remove(&JobId(1));
+    let mut successor = Driver::with_untried_workers(0, 8);
     successor.restore(1, policy(0), vec![step(1, 1)], left.as_ref());
     for index in 0..4 {
         successor.apply(Event::WorkerListed(worker(index, 8)));
     }
     successor.scheduler.begin_recovery(successor.now);
     for key in successor.workers.clone() {
-        successor.hold(key, &[]);
+        successor.report_running(key, &[]);
     }
     successor.apply(Event::Ticked);
     assert_eq!(crash_until_given_up(&mut successor, 1), 1);
@@ -185,9 +185,9 @@
     driver.crash(first.worker);
     assert!(driver.start_all().is_empty(), "the store was not told yet");
     driver.record();
-    let unit = driver.kept[&JobId(1)].steps[0].units[&0].clone();
+    let unit = driver.stored_progress[&JobId(1)].steps[0].units[&0].clone();
     let again = driver.start_all().remove(0);
-    assert_eq!(unit.started, again.run);
+    assert_eq!(unit.last_started, again.run);
     let name = driver.scheduler.name_of(again.worker);
     assert_eq!(unit.workers.first(), name.as_ref());
 }
@@ -199,9 +199,12 @@
     let first = driver.settle().remove(0);
     driver.crash(first.worker);
     driver.settle();
-    let left = driver.kept.remove(&JobId(1)).expect("it was written");
+    let left = driver
+        .stored_progress
+        .remove(&JobId(1))
+        .expect("it was written");
     let at = left.steps[0].units[&0].workers[0].clone();
-    let mut successor = Driver::untried(0, 8);
+    let mut successor = Driver::with_untried_workers(0, 8);
     successor.restore(1, policy(0), vec![step(1, 1)], Some(&left));
     let spec = WorkerSpec {
         id: at,
@@ -212,7 +215,7 @@
     let gone = successor.workers[0];
     successor.apply(Event::Replaced { worker: gone });
     successor.record();
-    let count = successor.kept[&JobId(1)].steps[0].units[&0].crashes[&0];
+    let count = successor.stored_progress[&JobId(1)].steps[0].units[&0].crashes[&0];
     assert_eq!(count.workers, 2);
 }
 
@@ -221,10 +224,13 @@
     let mut driver = Driver::new(2, 8);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     driver.settle();
-    let mut left = driver.kept.remove(&JobId(1)).expect("it was written");
+    let mut left = driver
+        .stored_progress
+        .remove(&JobId(1))
+        .expect("it was written");
     let at = left.steps[0].units[&0].workers[0].clone();
     for _ in 0..3 {
-        let mut successor = Driver::untried(0, 8);
+        let mut successor = Driver::with_untried_workers(0, 8);
         successor.restore(1, policy(0), vec![step(1, 1)], Some(&left));
         for id in [at.clone(), "other".into()] {
             let spec = WorkerSpec { id, ..worker(0, 8) };
@@ -234,7 +240,7 @@
         let gone = successor.workers[0];
         successor.apply(Event::Replaced { worker: gone });
         successor.record();
-        left = successor.kept.remove(&JobId(1)).unwrap_or(left);
+        left = successor.stored_progress.remove(&JobId(1)).unwrap_or(left);
     }
     let count = left.steps[0].units[&0].crashes[&0];
     assert_eq!(count.workers, 1);
@@ -251,7 +257,11 @@
     };
     driver.apply(Event::WorkerListed(leaving));
     driver.crash(start.worker);
-    assert!(driver.kept[&JobId(1)].steps[0].units[&0].crashes.is_empty());
+    assert!(
+        driver.stored_progress[&JobId(1)].steps[0].units[&0]
+            .crashes
+            .is_empty()
+    );
 }
 
 #[test]
@@ -262,11 +272,11 @@
     driver.apply(Event::RenewalFailed {
         worker: start.worker,
     });
-    driver.pass(driver.scheduler.options().lease_bound_ms + 1);
+    driver.advance(driver.scheduler.options().lease_bound_ms + 1);
     driver.apply(Event::Ticked);
     driver.record();
-    let unit = &driver.kept[&JobId(1)].steps[0].units[&0];
-    assert_eq!(unit.accounted, start.run, "its lease has lapsed");
+    let unit = &driver.stored_progress[&JobId(1)].steps[0].units[&0];
+    assert_eq!(unit.last_accounted, start.run, "its lease has lapsed");
     assert!(unit.crashes.is_empty());
 }
 
@@ -282,11 +292,15 @@
     driver.crash(first.worker);
     let again = driver.settle().remove(0);
     for _ in 0..11 {
-        driver.pass(1_000);
+        driver.advance(1_000);
         list(&mut driver, &[&again]);
     }
     driver.record();
-    assert!(driver.kept[&JobId(1)].steps[0].units[&0].crashes.is_empty());
+    assert!(
+        driver.stored_progress[&JobId(1)].steps[0].units[&0]
+            .crashes
+            .is_empty()
+    );
 }
 
 /// Workers crash for reasons of their own, too: one that had been there for seconds each time is not given up as soon
@@ -301,7 +315,7 @@
     driver.submit(1, policy(0), vec![lasting]);
     for _ in 0..4 {
         let start = driver.settle().remove(0);
-        driver.pass(3_000);
+        driver.advance(3_000);
         list(&mut driver, &[&start]);
         driver.crash(start.worker);
     }
@@ -324,14 +338,14 @@
     driver.apply(Event::RenewalFailed {
         worker: guilty.worker,
     });
-    driver.end(other, RunEnd::Alone, &[]);
+    driver.report_end(other, RunEnd::Alone, &[]);
     driver.record();
-    let left = driver.kept[&JobId(1)].clone();
+    let left = driver.stored_progress[&JobId(1)].clone();
     let name = driver.scheduler.name_of(guilty.worker).expect("a worker");
     let unit = &left.steps[0].units[&0];
-    assert_eq!(unit.accounted, guilty.run);
+    assert_eq!(unit.last_accounted, guilty.run);
 
-    let mut successor = Driver::untried(0, 2);
+    let mut successor = Driver::with_untried_workers(0, 2);
     successor.restore(1, policy(0), vec![gang], Some(&left));
     for index in 0..2 {
         successor.apply(Event::WorkerListed(worker(index, 2)));
@@ -341,10 +355,10 @@
     let is_gone = |driver: &Driver, key| driver.scheduler.name_of(key).as_ref() == Some(&name);
     let (gone, sound): (Vec<_>, Vec<_>) =
         keys.into_iter().partition(|key| is_gone(&successor, *key));
-    successor.hold(sound[0], &[]);
+    successor.report_running(sound[0], &[]);
     successor.apply(Event::Replaced { worker: gone[0] });
     successor.record();
-    let crashes = &successor.kept[&JobId(1)].steps[0].units[&0].crashes;
+    let crashes = &successor.stored_progress[&JobId(1)].steps[0].units[&0].crashes;
     let member = guilty.task.index;
     assert_eq!(crashes.keys().copied().collect::<Vec<_>>(), [member]);
     assert_eq!(crashes[&member].workers, 1);
@@ -361,14 +375,14 @@
         gang: true,
         ..step(2, 2)
     };
-    let mut successor = Driver::untried(0, 2);
+    let mut successor = Driver::with_untried_workers(0, 2);
     successor.restore(1, policy(0), vec![gang], Some(&left));
     for index in 0..2 {
         successor.apply(Event::WorkerListed(worker(index, 2)));
     }
     successor.scheduler.begin_recovery(successor.now);
     for key in successor.workers.clone() {
-        successor.hold(key, &[]);
+        successor.report_running(key, &[]);
     }
     successor.apply(Event::Ticked);
     assert!(successor.scheduler.is_recovered());
--- a/crates/sched/tests/core/doubts.rs
+++ b/crates/sched/tests/core/doubts.rs
@@ -148,7 +148,7 @@
     driver.submit(1, policy(0), vec![lasting]);
     let serving = driver.start_all();
     driver.submit(2, policy(0), vec![step(2, 2)]);
-    driver.pass(10);
+    driver.advance(10);
     driver.schedule();
     let untaken = std::mem::take(&mut driver.starts);
     assert_eq!((serving.len(), untaken.len()), (2, 2));
@@ -158,10 +158,10 @@
 /// Lets time pass while the workers answer renewals, serve, and take no order.
 fn pass_without_orders(driver: &mut Driver, serving: &[StartOrder], time_ms: u64) {
     for _ in 0..time_ms / 100 {
-        driver.pass(100);
+        driver.advance(100);
         driver.renew_leases();
         for start in serving {
-            driver.hold(start.worker, &[(start.task, start.run, 100)]);
+            driver.report_running(start.worker, &[(start.task, start.run, 100)]);
         }
         for start in std::mem::take(&mut driver.starts) {
             answer(driver, &start, StartAnswer::InDoubt);
@@ -211,7 +211,7 @@
 #[test]
 fn no_worker_is_given_more_than_it_takes_in() {
     for (mut driver, most) in [
-        (Driver::untried(3, 100), 2),
+        (Driver::with_untried_workers(3, 100), 2),
         (Driver::new(3, 100), STARTS_IN_FLIGHT),
     ] {
         driver.submit(1, policy(0), vec![step(100, 1)]);
@@ -226,7 +226,7 @@
 
 #[test]
 fn sound_workers_are_given_all_that_they_have_room_for_within_a_few_answers() {
-    let mut driver = Driver::untried(3, 100);
+    let mut driver = Driver::with_untried_workers(3, 100);
     driver.submit(1, policy(0), vec![step(200, 1)]);
     let mut started = 0;
     let mut answers = 0;
@@ -255,7 +255,7 @@
         }
     }
     assert_eq!(running.len(), 10);
-    driver.hold(driver.workers[0], &running);
+    driver.report_running(driver.workers[0], &running);
     driver.submit(2, policy(0), vec![step(20, 1)]);
     for _ in 0..3 {
         driver.schedule();
@@ -267,7 +267,7 @@
 #[test]
 fn an_urgent_task_does_not_wait_for_room_where_orders_are_not_taken() {
     let mut driver = Driver::new(2, 4);
-    driver.pass(10);
+    driver.advance(10);
     driver.submit(1, policy(0), vec![step(3, 1)]);
     driver.schedule();
     let untaken = std::mem::take(&mut driver.starts);
@@ -281,7 +281,7 @@
     driver.submit(2, policy(2), vec![patient]);
     let running = driver.start_all();
     let held: Vec<_> = running.iter().map(|s| (s.task, s.run, 50)).collect();
-    driver.hold(running[0].worker, &held);
+    driver.report_running(running[0].worker, &held);
     assert_eq!(held.len(), 4);
     driver.submit(3, policy(0), vec![step(1, 1)]);
     driver.schedule();
@@ -297,13 +297,13 @@
     for _ in 0..20 {
         driver.schedule();
         let starts = std::mem::take(&mut driver.starts);
-        driver.pass(1);
+        driver.advance(1);
         for (index, start) in starts.iter().enumerate() {
             if index % 5 < 3 {
                 answer(&mut driver, start, StartAnswer::Started);
             }
         }
-        driver.pass(300);
+        driver.advance(300);
         for (index, start) in starts.iter().enumerate() {
             if index % 5 >= 3 {
                 answer(&mut driver, start, StartAnswer::InDoubt);
@@ -311,7 +311,7 @@
         }
         driver.apply(Event::Ticked);
     }
-    assert_eq!(driver.beliefs, []);
+    assert_eq!(driver.status_changes, []);
     assert_eq!(driver.scheduler.counts(driver.now).waiting_tasks, 0);
 }
 
@@ -342,7 +342,7 @@
 #[test]
 fn starts_that_never_left_say_nothing_of_their_worker() {
     let mut driver = Driver::new(1, 8);
-    driver.pass(10);
+    driver.advance(10);
     driver.submit(1, policy(0), vec![step(8, 1)]);
     driver.schedule();
     let starts = std::mem::take(&mut driver.starts);
@@ -350,8 +350,8 @@
     for start in &starts {
         answer(&mut driver, start, StartAnswer::NotSent);
     }
-    assert_eq!(driver.beliefs, []);
-    driver.pass(Options::default().order_retry_ms);
+    assert_eq!(driver.status_changes, []);
+    driver.advance(Options::default().order_retry_ms);
     driver.record();
     assert_eq!(driver.start_all().len(), 8);
 }
@@ -362,9 +362,9 @@
     driver.submit(1, policy(0), vec![step(1, 2)]);
     driver.schedule();
     let first = driver.starts.remove(0);
-    driver.pass(Options::default().order_retry_ms);
+    driver.advance(Options::default().order_retry_ms);
     answer(&mut driver, &first, StartAnswer::InDoubt);
-    driver.pass(Options::default().order_retry_ms);
+    driver.advance(Options::default().order_retry_ms);
     driver.apply(Event::Ticked);
     assert_eq!(driver.starts.len(), 1);
     answer(&mut driver, &first, StartAnswer::NotSent);
@@ -392,9 +392,9 @@
     driver.submit(1, policy(0), vec![step(1, 2)]);
     driver.schedule();
     let first = driver.starts.remove(0);
-    driver.pass(Options::default().order_retry_ms);
+    driver.advance(Options::default().order_retry_ms);
     answer(&mut driver, &first, StartAnswer::InDoubt);
-    driver.pass(Options::default().order_retry_ms);
+    driver.advance(Options::default().order_retry_ms);
     driver.apply(Event::Ticked);
     driver.cancel(1);
     answer(
--- a/crates/sched/tests/core/driver.rs
+++ b/crates/sched/tests/core/driver.rs
@@ -11,6 +11,7 @@
 use syc_sched::JobProgress;
 use syc_sched::JobSpec;
 use syc_sched::JobState;
+use syc_sched::LatestRun;
 use syc_sched::Note;
 use syc_sched::Options;
 use syc_sched::QueuePolicy;
@@ -30,7 +31,6 @@
 use syc_sched::WorkerNote;
 use syc_sched::WorkerReport;
 use syc_sched::WorkerSpec;
-use syc_sched::YoungestRun;
 use syc_types::Millis;
 use syc_types::RackId;
 use syc_types::Resources;
@@ -55,9 +55,9 @@
 /// A worker that was lost, and what was on it.
 #[derive(Debug)]
 pub struct Lost {
-    pub how: &'static str,
+    pub reason: &'static str,
     pub runs: usize,
-    pub youngest: Option<YoungestRun>,
+    pub latest_run: Option<LatestRun>,
 }
 
 /// A scheduler, the time, and what it wanted done so far.
@@ -68,29 +68,29 @@
     pub workers: Vec<WorkerKey>,
     pub starts: Vec<StartOrder>,
     pub stops: Vec<Stop>,
-    pub asks: Vec<(StepId, Vec<WorkerKey>)>,
+    pub advice_requests: Vec<(StepId, Vec<WorkerKey>)>,
     /// Paces that were ordered, and not answered yet.
     pub paces: Vec<(WorkerKey, TaskId, Run, u8)>,
     pub vm_orders: Vec<(VmId, Duty)>,
     /// When each list of VMs was asked for.
     pub lists_asked: Vec<Millis>,
     /// What was believed of workers, in turn.
-    pub beliefs: Vec<(WorkerId, &'static str)>,
+    pub status_changes: Vec<(WorkerId, &'static str)>,
     /// Workers that were lost with what ran on them.
     pub lost: Vec<Lost>,
     /// What the store has of each job.
-    pub kept: BTreeMap<JobId, JobProgress>,
+    pub stored_progress: BTreeMap<JobId, JobProgress>,
     /// Waves that operators were told of, and whether as completed.
-    pub told: Vec<(u64, bool)>,
+    pub wave_reports: Vec<(u64, bool)>,
     ends: BTreeMap<WorkerKey, u64>,
-    lives: usize,
+    restarts: usize,
 }
 
 impl Driver {
     /// Makes a scheduler with `count` workers of so many whole cores, all of which have answered, and have taken
     /// an order.
     pub fn new(count: usize, cores: u64) -> Self {
-        let mut driver = Self::untried(count, cores);
+        let mut driver = Self::with_untried_workers(count, cores);
         let step = StepId {
             job: JobId(0),
             occurrence: 0,
@@ -108,30 +108,30 @@
     }
 
     /// Makes a scheduler with such workers, none of which has been sent an order yet.
-    pub fn untried(count: usize, cores: u64) -> Self {
+    pub fn with_untried_workers(count: usize, cores: u64) -> Self {
         let mut driver = Self {
             scheduler: Scheduler::new(Options::default()),
             now: Millis(1_000),
             workers: Vec::new(),
             starts: Vec::new(),
             stops: Vec::new(),
-            asks: Vec::new(),
+            advice_requests: Vec::new(),
             paces: Vec::new(),
             vm_orders: Vec::new(),
             lists_asked: Vec::new(),
-            told: Vec::new(),
-            beliefs: Vec::new(),
+            wave_reports: Vec::new(),
+            status_changes: Vec::new(),
             lost: Vec::new(),
-            kept: BTreeMap::new(),
+            stored_progress: BTreeMap::new(),
             ends: BTreeMap::new(),
-            lives: 0,
+            restarts: 0,
         };
         for index in 0..count {
             driver.apply(Event::WorkerListed(worker(index, cores)));
         }
         driver.scheduler.begin_recovery(driver.now);
         for key in driver.workers.clone() {
-            driver.hold(key, &[]);
+            driver.report_running(key, &[]);
         }
         driver
     }
@@ -158,33 +158,35 @@
                     reason,
                 }),
                 Action::OrderVm { vm, duty } => self.vm_orders.push((vm, duty)),
-                Action::TellWave { wave, completed } => self.told.push((wave, completed)),
+                Action::ReportWave { wave, completed } => self.wave_reports.push((wave, completed)),
                 Action::ListVms { asked_at } => self.lists_asked.push(asked_at),
-                Action::Ask { step, workers, .. } => self.asks.push((step, workers)),
+                Action::RequestAdvice { step, workers, .. } => {
+                    self.advice_requests.push((step, workers));
+                }
                 Action::Pace {
                     worker,
                     task,
                     run,
                     percent,
                 } => self.paces.push((worker, task, run, percent)),
-                Action::Note(Note::Worker { worker, note }) => self.hear(worker, &note),
+                Action::Note(Note::Worker { worker, note }) => self.record_note(worker, &note),
                 _ => {}
             }
         }
     }
 
-    fn hear(&mut self, worker: WorkerId, note: &WorkerNote) {
+    fn record_note(&mut self, worker: WorkerId, note: &WorkerNote) {
         match note {
-            WorkerNote::Belief { belief, .. } => self.beliefs.push((worker, belief)),
+            WorkerNote::StatusChanged { status, .. } => self.status_changes.push((worker, status)),
             WorkerNote::Lost {
-                how,
+                reason,
                 runs,
-                youngest,
+                latest_run,
                 ..
             } => self.lost.push(Lost {
-                how,
+                reason,
                 runs: *runs,
-                youngest: *youngest,
+                latest_run: *latest_run,
             }),
             _ => {}
         }
@@ -207,7 +209,7 @@
         self.take(actions);
     }
 
-    pub fn pass(&mut self, time_ms: u64) {
+    pub fn advance(&mut self, time_ms: u64) {
         self.now = self.now.plus(time_ms);
     }
 
@@ -282,16 +284,16 @@
     /// Lets a worker crash under what was started there last, and another life of it come back.
     pub fn crash(&mut self, worker: WorkerKey) {
         let index = self.workers.iter().position(|key| *key == worker);
-        self.pass(11);
+        self.advance(11);
         self.apply(Event::RenewalFailed { worker });
-        self.pass(3_000);
+        self.advance(3_000);
         self.apply(Event::Replaced { worker });
         self.workers.retain(|key| *key != worker);
-        self.lives += 1;
-        let life = self.lives * 1_000 + index.unwrap_or(0);
+        self.restarts += 1;
+        let life = self.restarts * 1_000 + index.unwrap_or(0);
         self.apply(Event::WorkerListed(self::worker(life, 8)));
         let back = self.workers[self.workers.len() - 1];
-        self.hold(back, &[]);
+        self.report_running(back, &[]);
         self.record();
     }
 
@@ -328,17 +330,17 @@
     }
 
     /// Answers a renewal with these runs, none of which has a checkpoint.
-    pub fn hold(&mut self, worker: WorkerKey, running: &[(TaskId, Run, u8)]) {
+    pub fn report_running(&mut self, worker: WorkerKey, running: &[(TaskId, Run, u8)]) {
         self.report(worker, running, &[]);
     }
 
     /// Answers a renewal with one end, and the runs that go on.
-    pub fn end(&mut self, start: &StartOrder, end: RunEnd, running: &[(TaskId, Run, u8)]) {
+    pub fn report_end(&mut self, start: &StartOrder, end: RunEnd, running: &[(TaskId, Run, u8)]) {
         self.report(start.worker, running, &[(start.task, start.run, end)]);
     }
 
     /// Answers a renewal with these runs, each with its load.
-    pub fn hold_loads(&mut self, worker: WorkerKey, running: &[(&StartOrder, u64)]) {
+    pub fn report_loads(&mut self, worker: WorkerKey, running: &[(&StartOrder, u64)]) {
         let mut report = WorkerReport::default();
         for (start, load) in running {
             report.running.push(RunningReport {
@@ -355,7 +357,7 @@
     /// Answers a renewal of now, a moment later.
     fn answer(&mut self, worker: WorkerKey, report: WorkerReport) {
         let sent_at = self.now;
-        self.pass(1);
+        self.advance(1);
         self.apply(Event::Renewed {
             worker,
             sent_at,
@@ -424,7 +426,7 @@
             .take_records(usize::MAX, self.now, TimeOfDay(1));
         let mut jobs = Vec::new();
         for (id, change, progress) in records {
-            self.kept.insert(id, progress);
+            self.stored_progress.insert(id, progress);
             jobs.push((id, change));
         }
         self.apply(Event::Recorded { jobs });
--- a/crates/sched/tests/core/life.rs
+++ b/crates/sched/tests/core/lifecycle.rs
@@ -11,7 +11,7 @@
 use crate::driver::step;
 
 #[test]
-fn a_step_starts_only_when_the_ends_of_the_one_before_are_stored() {
+fn step_starts_after_previous_step_is_stored() {
     let mut driver = Driver::new(1, 4);
     let second = StepSpec {
         after: vec![0],
@@ -20,7 +20,7 @@
     driver.submit(1, policy(0), vec![step(1, 1), second]);
     driver.schedule();
     let first = driver.confirm_starts();
-    driver.end(&first[0], RunEnd::Done, &[]);
+    driver.report_end(&first[0], RunEnd::Done, &[]);
     driver.schedule();
     assert!(driver.starts.is_empty(), "the end is not stored yet");
     driver.record();
@@ -30,14 +30,14 @@
 }
 
 #[test]
-fn a_job_is_shown_as_completed_only_when_that_is_stored() {
+fn completion_is_visible_only_once_stored() {
     let mut driver = Driver::new(1, 4);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     assert_eq!(driver.state(1), Some(JobState::Queued));
     driver.schedule();
     let started = driver.confirm_starts();
     assert_eq!(driver.state(1), Some(JobState::Running));
-    driver.end(&started[0], RunEnd::Done, &[]);
+    driver.report_end(&started[0], RunEnd::Done, &[]);
     assert_eq!(driver.state(1), Some(JobState::Running));
     let (acknowledged, left) = driver.scheduler.acknowledged_ends(started[0].worker);
     assert_eq!(
@@ -55,26 +55,26 @@
 #[test_case(RunEnd::Stopped, 3, Some(JobState::Running); "a stop is no failure")]
 #[test_case(RunEnd::Lapsed, 3, Some(JobState::Running); "a lapsed lease is no failure")]
 #[test_case(RunEnd::Failed, 2, Some(JobState::Running); "fewer than the limit")]
-fn a_job_fails_after_so_many_failed_runs(end: RunEnd, times: u32, state: Option<JobState>) {
+fn job_fails_at_the_attempts_limit(end: RunEnd, times: u32, state: Option<JobState>) {
     let mut driver = Driver::new(4, 4);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     for _ in 0..times {
         driver.schedule();
         let started = driver.confirm_starts();
         assert_eq!(started.len(), 1);
-        driver.end(&started[0], end, &[]);
+        driver.report_end(&started[0], end, &[]);
         driver.record();
     }
     assert_eq!(driver.state(1), state);
 }
 
 #[test]
-fn the_runs_of_a_task_are_numbered_upwards_and_avoid_where_it_failed() {
+fn retry_has_higher_run_number_and_avoids_failed_worker() {
     let mut driver = Driver::new(2, 4);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     driver.schedule();
     let first = driver.confirm_starts();
-    driver.end(&first[0], RunEnd::Failed, &[]);
+    driver.report_end(&first[0], RunEnd::Failed, &[]);
     driver.record();
     driver.schedule();
     let second = driver.confirm_starts();
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn what_runs_of_a_cancelled_job_is_stopped_and_nothing_of_it_starts() {
+fn cancelled_job_stops_its_runs_and_starts_none() {
     let mut driver = Driver::new(1, 2);
     driver.submit(1, policy(0), vec![step(4, 1)]);
     driver.schedule();
@@ -91,8 +91,8 @@
     assert_eq!(started.len(), 2);
     driver.cancel(1);
     assert_eq!(driver.stops.len(), 2);
-    driver.pass(50);
-    driver.hold(started[0].worker, &[]);
+    driver.advance(50);
+    driver.report_running(started[0].worker, &[]);
     driver.record();
     driver.schedule();
     assert!(driver.starts.is_empty());
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_cancelling_that_is_read_before_the_job_cancels_it() {
+fn cancellation_read_before_the_job_takes_effect() {
     let mut driver = Driver::new(1, 2);
     driver.cancel(1);
     driver.submit(1, policy(0), vec![step(1, 1)]);
@@ -111,31 +111,31 @@
 }
 
 #[test]
-fn a_start_that_is_carried_out_after_all_is_stopped_again() {
+fn late_start_of_cancelled_job_is_stopped() {
     let mut driver = Driver::new(1, 2);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     driver.schedule();
     let start = driver.starts[0].clone();
     driver.cancel(1);
-    driver.pass(50);
+    driver.advance(50);
     driver.stop_taken(&start);
-    driver.pass(50);
-    driver.hold(start.worker, &[]);
+    driver.advance(50);
+    driver.report_running(start.worker, &[]);
     driver.record();
     driver.stops.clear();
-    driver.pass(3_000);
-    driver.hold(start.worker, &[(start.task, start.run, 1)]);
+    driver.advance(3_000);
+    driver.report_running(start.worker, &[(start.task, start.run, 1)]);
     assert_eq!(driver.stops.len(), 1);
     assert_eq!(driver.stops[0].reason, StopReason::Unwanted);
 }
 
 #[test]
-fn the_room_of_a_stopped_run_is_taken_until_its_end_is_listed() {
+fn stopped_run_holds_resources_until_its_end_is_reported() {
     let mut driver = Driver::new(1, 2);
     driver.submit(1, policy(1), vec![step(1, 2)]);
     driver.schedule();
     let started = driver.confirm_starts();
-    driver.hold(started[0].worker, &[(started[0].task, started[0].run, 5)]);
+    driver.report_running(started[0].worker, &[(started[0].task, started[0].run, 5)]);
     driver.cancel(1);
     driver.stop_taken(&started[0]);
     driver.submit(2, policy(1), vec![step(1, 2)]);
@@ -144,37 +144,37 @@
         driver.starts.is_empty(),
         "the first run still holds the room"
     );
-    driver.pass(20);
-    driver.hold(started[0].worker, &[(started[0].task, started[0].run, 5)]);
+    driver.advance(20);
+    driver.report_running(started[0].worker, &[(started[0].task, started[0].run, 5)]);
     driver.schedule();
     assert!(
         driver.starts.is_empty(),
         "the first run still holds the room"
     );
-    driver.end(&started[0], RunEnd::Stopped, &[]);
+    driver.report_end(&started[0], RunEnd::Stopped, &[]);
     driver.schedule();
     assert_eq!(driver.starts.len(), 1);
 }
 
 #[test]
-fn a_task_that_failed_on_every_worker_is_tried_again() {
+fn task_that_failed_on_every_worker_is_retried() {
     let mut driver = Driver::new(1, 4);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     for _ in 0..2 {
         driver.schedule();
         let started = driver.confirm_starts();
         assert_eq!(started.len(), 1);
-        driver.end(&started[0], RunEnd::Failed, &[]);
+        driver.report_end(&started[0], RunEnd::Failed, &[]);
         driver.record();
         driver.schedule();
-        driver.pass(2_000);
+        driver.advance(2_000);
     }
     driver.schedule();
     assert_eq!(driver.starts.len(), 1);
 }
 
 #[test]
-fn a_gang_that_failed_on_every_worker_is_tried_again() {
+fn gang_that_failed_on_every_worker_is_retried() {
     let mut driver = Driver::new(2, 2);
     let gang = StepSpec {
         gang: true,
@@ -184,17 +184,17 @@
     driver.schedule();
     let started = driver.confirm_starts();
     assert_eq!(started.len(), 2);
-    driver.end(&started[0], RunEnd::Failed, &[]);
-    driver.end(&started[1], RunEnd::Broken, &[]);
+    driver.report_end(&started[0], RunEnd::Failed, &[]);
+    driver.report_end(&started[1], RunEnd::Broken, &[]);
     driver.record();
     driver.schedule();
-    driver.pass(2_000);
+    driver.advance(2_000);
     driver.schedule();
     assert_eq!(driver.starts.len(), 2);
 }
 
 #[test]
-fn the_other_members_of_a_gang_that_is_done_are_left_to_end_by_themselves() {
+fn members_of_completed_gang_may_end_by_themselves() {
     let mut driver = Driver::new(1, 4);
     let gang = StepSpec {
         gang: true,
@@ -204,11 +204,11 @@
     driver.schedule();
     let started = driver.confirm_starts();
     let other = (started[1].task, started[1].run, 99);
-    driver.end(&started[0], RunEnd::Done, &[other]);
+    driver.report_end(&started[0], RunEnd::Done, &[other]);
     driver.record();
-    driver.hold(started[1].worker, &[other]);
+    driver.report_running(started[1].worker, &[other]);
     assert_eq!(driver.stops, []);
-    driver.pass(2_000);
-    driver.hold(started[1].worker, &[other]);
+    driver.advance(2_000);
+    driver.report_running(started[1].worker, &[other]);
     assert_eq!(driver.stops.len(), 1, "it did not end with the others");
 }
--- a/crates/sched/tests/core/lasting.rs
+++ b/crates/sched/tests/core/long_running.rs
@@ -16,7 +16,7 @@
 use crate::driver::step;
 use crate::driver::worker;
 
-fn lasting(tasks: u32, cores: u64) -> StepSpec {
+fn long_running(tasks: u32, cores: u64) -> StepSpec {
     StepSpec {
         long_running: true,
         checkpointed: true,
@@ -27,32 +27,32 @@
 #[test_case(RunEnd::Done)]
 #[test_case(RunEnd::Failed)]
 #[test_case(RunEnd::Lapsed)]
-fn a_task_that_lasts_is_started_again_however_it_ends(end: RunEnd) {
+fn long_running_task_restarts_after_any_end(end: RunEnd) {
     let mut driver = Driver::new(3, 4);
-    driver.submit(1, policy(0), vec![lasting(1, 1)]);
+    driver.submit(1, policy(0), vec![long_running(1, 1)]);
     for _ in 0..5 {
         driver.schedule();
         let started = driver.confirm_starts();
         assert_eq!(started.len(), 1);
-        driver.end(&started[0], end, &[]);
+        driver.report_end(&started[0], end, &[]);
         driver.record();
-        driver.pass(10_000);
+        driver.advance(10_000);
     }
     assert_eq!(driver.state(1), Some(JobState::Running));
 }
 
 #[test]
-fn a_task_that_lasts_is_neither_preempted_nor_taken_as_stalled() {
+fn long_running_task_is_neither_preempted_nor_stalled() {
     let mut driver = Driver::new(1, 2);
-    driver.submit(1, policy(2), vec![lasting(1, 2)]);
+    driver.submit(1, policy(2), vec![long_running(1, 2)]);
     driver.schedule();
     let started = driver.confirm_starts();
     let listed = (started[0].task, started[0].run, 100);
-    driver.hold(started[0].worker, &[listed]);
+    driver.report_running(started[0].worker, &[listed]);
     driver.submit(2, policy(0), vec![step(1, 1)]);
     for _ in 0..100 {
-        driver.pass(100);
-        driver.hold(started[0].worker, &[(listed.0, listed.1, 50)]);
+        driver.advance(100);
+        driver.report_running(started[0].worker, &[(listed.0, listed.1, 50)]);
         driver.apply(Event::Ticked);
         driver.schedule();
     }
@@ -60,14 +60,14 @@
 }
 
 #[test]
-fn a_task_that_lasts_goes_before_what_is_due_later_however_old_it_is() {
+fn long_running_task_precedes_later_deadlines_whatever_its_age() {
     let mut driver = Driver::new(1, 1);
-    driver.submit(1, policy(1), vec![lasting(1, 1)]);
+    driver.submit(1, policy(1), vec![long_running(1, 1)]);
     driver.schedule();
     let started = driver.confirm_starts();
-    driver.pass(600_000);
+    driver.advance(600_000);
     driver.submit(2, policy(1), vec![step(1, 1)]);
-    driver.end(&started[0], RunEnd::Failed, &[]);
+    driver.report_end(&started[0], RunEnd::Failed, &[]);
     driver.record();
     driver.schedule();
     let jobs: Vec<_> = driver.starts.iter().map(|s| s.task.step.job.0).collect();
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn each_occurrence_starts_when_it_is_due_and_not_before() {
+fn occurrences_start_at_their_due_times() {
     let mut driver = Driver::new(1, 4);
     let second = StepSpec {
         after: vec![0],
@@ -90,10 +90,10 @@
     driver.submit_scheduled(1, policy(0), vec![step(1, 1), second], schedule);
     driver.schedule();
     assert!(driver.starts.is_empty());
-    driver.pass(4_990);
+    driver.advance(4_990);
     driver.schedule();
     assert!(driver.starts.is_empty(), "not due yet");
-    driver.pass(20);
+    driver.advance(20);
     for occurrence in 0..2 {
         for step in 0..2 {
             driver.schedule();
@@ -101,14 +101,14 @@
             assert_eq!(started.len(), 1);
             let id = started[0].task.step;
             assert_eq!((id.occurrence, id.step), (occurrence, step));
-            driver.end(&started[0], RunEnd::Done, &[]);
+            driver.report_end(&started[0], RunEnd::Done, &[]);
             driver.record();
         }
         driver.schedule();
         assert!(driver.starts.is_empty(), "the next is not due yet");
         let state = driver.state(1);
         assert_eq!(state == Some(JobState::Completed), occurrence == 1);
-        driver.pass(10_000);
+        driver.advance(10_000);
     }
 }
 
@@ -121,7 +121,7 @@
         interval_ms: 100,
     };
     driver.submit_scheduled(1, policy(0), vec![step(1, 1)], schedule);
-    driver.pass(150);
+    driver.advance(150);
     driver.schedule();
     assert_eq!(driver.starts.len(), 2);
 }
@@ -132,7 +132,7 @@
 #[test_case(57_600; "a clock 2.4 s behind")]
 #[test_case(60_000; "a clock that is right")]
 #[test_case(62_400; "a clock 2.4 s ahead")]
-fn an_occurrence_starts_its_time_after_the_acceptance_by_whatever_clock(accepted_at_ms: u64) {
+fn occurrence_delay_is_independent_of_the_accepting_clock(accepted_at_ms: u64) {
     let accepted_at = TimeOfDay(accepted_at_ms);
     let mut driver = Driver::new(1, 4);
     let schedule = Schedule {
@@ -141,10 +141,10 @@
         interval_ms: 0,
     };
     driver.submit_accepted_at(1, policy(0), vec![step(1, 1)], schedule, accepted_at);
-    driver.pass(4_990);
+    driver.advance(4_990);
     driver.schedule();
     assert!(driver.starts.is_empty(), "not due yet");
-    driver.pass(20);
+    driver.advance(20);
     driver.schedule();
     assert_eq!(driver.starts.len(), 1);
 }
@@ -172,23 +172,23 @@
 #[test_case(NOON_MS; "a clock that is right")]
 #[test_case(NOON_MS + 200_000; "a clock 200 s ahead")]
 #[test_case(NOON_MS + 86_400_000; "a clock a day ahead")]
-fn an_occurrence_is_due_by_the_time_of_day_that_was_told(accepted_at_ms: u64) {
+fn occurrence_is_due_by_the_scheduler_wall_clock(accepted_at_ms: u64) {
     let mut driver = Driver::new(1, 4);
     set_day(&mut driver, NOON_MS);
     let schedule = due_at(TimeOfDay(NOON_MS + 5_000));
     let accepted_at = TimeOfDay(accepted_at_ms);
     driver.submit_accepted_at(1, policy(0), vec![step(1, 1)], schedule, accepted_at);
-    driver.pass(4_990);
+    driver.advance(4_990);
     driver.schedule();
     assert!(driver.starts.is_empty(), "not due yet");
-    driver.pass(20);
+    driver.advance(20);
     driver.schedule();
     assert_eq!(driver.starts.len(), 1);
 }
 
 /// A job that waits for hours is due by when it was accepted, and not by a limit on its age at the takeover.
 #[test]
-fn a_takeover_leaves_the_due_time_of_a_job_that_waits_for_long() {
+fn takeover_preserves_due_time_of_long_waiting_job() {
     const HOUR_MS: u64 = 3_600_000;
     let mut driver = Driver::new(0, 4);
     set_day(&mut driver, NOON_MS);
@@ -203,12 +203,12 @@
         .restore_job(spec, None, 600_000, driver.now);
     driver.apply(Event::WorkerListed(worker(0, 4)));
     driver.scheduler.begin_recovery(driver.now);
-    driver.hold(driver.workers[0], &[]);
+    driver.report_running(driver.workers[0], &[]);
     driver.apply(Event::Ticked);
-    driver.pass(HOUR_MS - 10);
+    driver.advance(HOUR_MS - 10);
     driver.schedule();
     assert!(driver.starts.is_empty(), "not due yet");
-    driver.pass(20);
+    driver.advance(20);
     driver.schedule();
     assert_eq!(driver.starts.len(), 1);
 }
@@ -217,7 +217,7 @@
 #[test_case(2_000; "by 2 s")]
 #[test_case(200_000; "by 200 s")]
 #[test_case(86_400_000; "by a day")]
-fn a_step_runs_no_occurrence_twice_and_leaves_none_out(step_ms: u64) {
+fn clock_step_neither_repeats_nor_skips_an_occurrence(step_ms: u64) {
     for (before_ms, after_ms) in [(0, step_ms), (step_ms, 0)] {
         let mut driver = Driver::new(1, 4);
         set_day(&mut driver, NOON_MS + before_ms);
@@ -226,22 +226,22 @@
         driver.schedule();
         let started = driver.confirm_starts();
         assert_eq!(started.len(), 1);
-        driver.end(&started[0], RunEnd::Done, &[]);
+        driver.report_end(&started[0], RunEnd::Done, &[]);
         driver.record();
         set_day(&mut driver, NOON_MS + after_ms);
         driver.schedule();
         let mut second = driver.confirm_starts();
         if second.is_empty() {
-            driver.pass(step_ms + 10_000);
+            driver.advance(step_ms + 10_000);
             driver.schedule();
             second = driver.confirm_starts();
         }
         let occurrences: Vec<_> = second.iter().map(|s| s.task.step.occurrence).collect();
         assert_eq!(occurrences, [1]);
         set_day(&mut driver, NOON_MS + before_ms);
-        driver.end(&second[0], RunEnd::Done, &[]);
+        driver.report_end(&second[0], RunEnd::Done, &[]);
         driver.record();
-        driver.pass(step_ms * 2);
+        driver.advance(step_ms * 2);
         driver.schedule();
         assert!(driver.starts.is_empty());
         assert_eq!(driver.state(1), Some(JobState::Completed));
--- a/crates/sched/tests/core/strays.rs
+++ b/crates/sched/tests/core/orphans.rs
@@ -40,28 +40,28 @@
         driver.apply(Event::WorkerListed(worker(index, 4)));
     }
     driver.scheduler.begin_recovery(driver.now);
-    driver.pass(1);
+    driver.advance(1);
     driver
 }
 
 /// Lets the rest of the workers answer.
 fn others_answer(driver: &mut Driver) {
     for key in driver.workers.clone().into_iter().skip(1) {
-        driver.hold(key, &[]);
+        driver.report_running(key, &[]);
     }
     driver.apply(Event::Ticked);
 }
 
 /// Lets the scheduler read all that is stored by now.
 fn read_on(driver: &mut Driver) {
-    driver.pass(1);
+    driver.advance(1);
     driver.scheduler.set_jobs_read(driver.now);
     driver.apply(Event::Ticked);
 }
 
 #[test_case(false; "while it takes over")]
 #[test_case(true; "after it has taken over")]
-fn what_ended_before_its_job_was_read_does_not_run_again(taken_over: bool) {
+fn end_reported_before_the_job_is_read_prevents_a_second_run(taken_over: bool) {
     let mut driver = successor(2);
     let first = driver.workers[0];
     driver.report(first, &[], &[(task(0), Run(1), RunEnd::Done)]);
@@ -81,12 +81,12 @@
 }
 
 #[test]
-fn what_runs_before_its_job_is_read_goes_on() {
+fn run_reported_before_the_job_is_read_is_adopted() {
     let mut driver = successor(2);
     let first = driver.workers[0];
-    driver.hold(first, &[(task(0), Run(1), 40)]);
+    driver.report_running(first, &[(task(0), Run(1), 40)]);
     others_answer(&mut driver);
-    driver.hold(first, &[(task(0), Run(1), 60)]);
+    driver.report_running(first, &[(task(0), Run(1), 60)]);
     driver.submit(JOB, policy(0), vec![step(1, 1)]);
     driver.schedule();
     assert!(driver.starts.is_empty(), "it runs");
@@ -98,10 +98,10 @@
 }
 
 #[test]
-fn what_ends_between_its_listing_and_the_reading_of_its_job_counts() {
+fn run_that_ends_before_the_job_is_read_counts() {
     let mut driver = successor(2);
     let first = driver.workers[0];
-    driver.hold(first, &[(task(0), Run(1), 40)]);
+    driver.report_running(first, &[(task(0), Run(1), 40)]);
     driver.report(first, &[], &[(task(0), Run(1), RunEnd::Failed)]);
     others_answer(&mut driver);
     driver.submit(JOB, policy(0), vec![step(1, 1)]);
@@ -112,10 +112,10 @@
 }
 
 #[test]
-fn a_gang_of_which_a_part_runs_is_stopped_and_starts_anew() {
+fn partially_running_gang_is_stopped_and_restarted() {
     let mut driver = successor(2);
     let first = driver.workers[0];
-    driver.hold(first, &[(task(0), Run(1), 0)]);
+    driver.report_running(first, &[(task(0), Run(1), 0)]);
     others_answer(&mut driver);
     let gang = StepSpec {
         gang: true,
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn what_belongs_to_no_job_is_stopped_and_its_ends_are_acknowledged() {
+fn runs_without_a_job_are_stopped_and_their_ends_acknowledged() {
     let mut driver = successor(1);
     let only = driver.workers[0];
     let ended = [(task(1), Run(1), RunEnd::Done)];
@@ -146,11 +146,11 @@
 }
 
 #[test]
-fn without_a_word_on_reading_all_jobs_count_as_read() {
+fn unlimited_read_time_treats_all_jobs_as_read() {
     let mut driver = successor(1);
     driver.scheduler.set_jobs_read(Millis(u64::MAX));
     let only = driver.workers[0];
-    driver.hold(only, &[(task(0), Run(1), 10)]);
+    driver.report_running(only, &[(task(0), Run(1), 10)]);
     assert_eq!(driver.stops.len(), 1);
 }
 
@@ -158,7 +158,7 @@
 /// a job that its successor read only after it had read all the others. The successor heard of the ends a moment
 /// after it had read the job, took it as one that nobody had started, and ran all four tasks once more.
 #[test]
-fn what_ended_counts_also_where_its_job_was_read_just_before() {
+fn end_reported_after_the_job_is_read_prevents_a_second_run() {
     let mut driver = successor(2);
     let first = driver.workers[0];
     driver.submit(JOB, policy(0), vec![step(2, 1)]);
@@ -175,11 +175,11 @@
 }
 
 #[test]
-fn what_runs_goes_on_also_where_its_job_was_read_just_before() {
+fn run_reported_after_the_job_is_read_is_adopted() {
     let mut driver = successor(2);
     let first = driver.workers[0];
     driver.submit(JOB, policy(0), vec![step(1, 1)]);
-    driver.hold(first, &[(task(0), Run(1), 40)]);
+    driver.report_running(first, &[(task(0), Run(1), 40)]);
     others_answer(&mut driver);
     driver.schedule();
     assert!(driver.starts.is_empty(), "it runs");
--- a/crates/sched/tests/core/pools.rs
+++ b/crates/sched/tests/core/pools.rs
@@ -49,7 +49,7 @@
 
 fn pass(driver: &mut Driver, here: usize, time_ms: u64) {
     for _ in 0..time_ms / 100 {
-        driver.pass(100);
+        driver.advance(100);
         driver.renew_leases();
         driver.apply(Event::Ticked);
         driver.list_vms(Some(listed(here, VmState::Up)));
@@ -118,10 +118,10 @@
 fn nothing_moves_by_a_list_that_is_old() {
     let mut driver = driver();
     pass(&mut driver, HERE, 4_000);
-    driver.pass(3_000);
+    driver.advance(3_000);
     driver.submit(1, policy(0), vec![step(12, 1)]);
     for _ in 0..50 {
-        driver.pass(100);
+        driver.advance(100);
         driver.apply(Event::Ticked);
         driver.list_vms(None);
     }
@@ -153,7 +153,7 @@
         ..worker(2, 4)
     }));
     for key in driver.workers.clone() {
-        driver.hold(key, &[]);
+        driver.report_running(key, &[]);
     }
     pass(&mut driver, HERE + 1, 500);
     let mut started = driver.confirm_starts();
--- a/crates/sched/tests/core/preempt.rs
+++ b/crates/sched/tests/core/preemption.rs
@@ -16,13 +16,13 @@
     for worker in driver.workers.clone() {
         let here = started.iter().filter(|start| start.worker == worker);
         let running: Vec<_> = here.map(|s| (s.task, s.run, 10)).collect();
-        driver.hold(worker, &running);
+        driver.report_running(worker, &running);
     }
     started.len()
 }
 
 #[test]
-fn saved_work_is_stopped_for_an_urgent_task() {
+fn checkpointed_work_is_preempted() {
     let mut driver = Driver::new(1, 4);
     let saved = StepSpec {
         checkpointed: true,
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn no_member_of_a_gang_is_stopped_for_an_urgent_task() {
+fn gang_members_are_not_preempted() {
     let mut driver = Driver::new(2, 4);
     let gang = StepSpec {
         checkpointed: true,
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn work_that_saves_nothing_is_not_stopped() {
+fn work_without_checkpoints_is_not_preempted() {
     let mut driver = Driver::new(1, 4);
     assert_eq!(fill_with(&mut driver, vec![step(4, 1)]), 4);
     driver.submit(2, policy(0), vec![step(1, 2)]);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn patient_tasks_leave_room_for_the_urgent_work_of_late() {
+fn patient_tasks_leave_headroom_for_recent_urgent_load() {
     let mut driver = Driver::new(4, 10);
     let urgent = |id: u64, driver: &mut Driver| {
         driver.submit(id, policy(0), vec![step(10, 1)]);
@@ -74,14 +74,14 @@
         for worker in driver.workers.clone() {
             let here = started.iter().filter(|start| start.worker == worker);
             let running: Vec<_> = here.map(|s| (s.task, s.run, 10)).collect();
-            driver.hold(worker, &running);
+            driver.report_running(worker, &running);
         }
         started
     };
     // Ten of the forty cores have been used by urgent work for a while.
     let started = urgent(1, &mut driver);
     for _ in 0..200 {
-        driver.pass(100);
+        driver.advance(100);
         driver.apply(Event::Ticked);
     }
     for worker in driver.workers.clone() {
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn patient_tasks_use_all_room_while_there_is_no_urgent_work() {
+fn patient_tasks_use_all_capacity_without_urgent_load() {
     let mut driver = Driver::new(4, 10);
     driver.submit(2, policy(2), vec![step(40, 1)]);
     assert_eq!(driver.start_all().len(), 40);
--- a/crates/sched/tests/core/proof.rs
+++ b/crates/sched/tests/core/proof.rs
@@ -26,7 +26,7 @@
     assert!(started(&mut driver).is_empty());
     assert!(driver.scheduler.wants_proof(driver.now));
     let (sent_with, sent_at) = (driver.scheduler.jobs_added(), driver.now);
-    driver.pass(300);
+    driver.advance(300);
     driver.submit(2, policy(0), vec![step(1, 1)]);
     driver.scheduler.set_proof(sent_with, sent_at);
     assert_eq!(started(&mut driver), [1, 2]);
@@ -35,7 +35,7 @@
     assert!(started(&mut driver).is_empty(), "the proof is too old");
     let sent_with = driver.scheduler.jobs_added();
     driver.scheduler.set_proof(sent_with, driver.now);
-    driver.pass(authority_ms);
+    driver.advance(authority_ms);
     assert_eq!(
         started(&mut driver),
         [3],
@@ -59,7 +59,7 @@
         }
         driver.scheduler.begin_recovery(driver.now);
         let read_at = driver.now.plus(after_ms);
-        driver.hold(driver.workers[0], &[]);
+        driver.report_running(driver.workers[0], &[]);
         driver.now = read_at;
         driver.scheduler.set_jobs_read(read_at);
         driver.submit(1, policy(0), vec![step(1, 1)]);
