--- a/crates/sched/tests/core/rebirth.rs
+++ b/crates/sched/tests/core/rebirth.rs
@@ -40,19 +40,19 @@
 #[test]
 fn the_next_life_counts_its_ends_anew() {
     let (mut driver, first) = with_a_worker();
-    driver.hold(first, &[]);
+    driver.report_running(first, &[]);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     let start = driver.settle().remove(0);
-    driver.end(&start, RunEnd::Done, &[]);
+    driver.report_end(&start, RunEnd::Done, &[]);
     driver.record();
     assert_eq!(driver.scheduler.acknowledged_ends(first).0, 1);
-    driver.apply(Event::Reborn { worker: first });
+    driver.apply(Event::Restarted { worker: first });
     let next = list_life(&mut driver, 2);
-    driver.hold(next, &[]);
+    driver.report_running(next, &[]);
     assert_eq!(driver.scheduler.acknowledged_ends(next).0, 0);
     driver.submit(2, policy(0), vec![step(1, 1)]);
     let again = driver.settle().remove(0);
-    driver.end(&again, RunEnd::Done, &[]);
+    driver.report_end(&again, RunEnd::Done, &[]);
     driver.record();
     assert_eq!(driver.state(2), Some(syc_sched::JobState::Completed));
     assert_eq!(driver.scheduler.acknowledged_ends(next).0, 1);
@@ -61,10 +61,10 @@
 #[test]
 fn an_acknowledgement_is_told_once_and_to_nobody_who_did_not_answer() {
     let (mut driver, key) = with_a_worker();
-    driver.hold(key, &[]);
+    driver.report_running(key, &[]);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     let start = driver.settle().remove(0);
-    driver.end(&start, RunEnd::Done, &[]);
+    driver.report_end(&start, RunEnd::Done, &[]);
     driver.record();
     assert_eq!(driver.scheduler.acknowledged_ends(key).0, 1);
     driver.apply(Event::RenewalFailed { worker: key });
@@ -73,27 +73,27 @@
         0,
         "it may be another life"
     );
-    driver.hold(key, &[]);
+    driver.report_running(key, &[]);
     assert_eq!(
         driver.scheduler.acknowledged_ends(key).0,
         1,
         "it is the same"
     );
-    driver.hold(key, &[]);
+    driver.report_running(key, &[]);
     assert_eq!(driver.scheduler.acknowledged_ends(key).0, 0, "it knows");
 }
 
 #[test]
 fn what_a_life_had_listed_ends_with_it_at_once() {
     let (mut driver, first) = with_a_worker();
-    driver.hold(first, &[]);
+    driver.report_running(first, &[]);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     let start = driver.settle().remove(0);
-    driver.hold(first, &[(start.task, start.run, 10)]);
-    driver.apply(Event::Reborn { worker: first });
+    driver.report_running(first, &[(start.task, start.run, 10)]);
+    driver.apply(Event::Restarted { worker: first });
     unlist_life(&mut driver, 1);
     let next = list_life(&mut driver, 2);
-    driver.hold(next, &[]);
+    driver.report_running(next, &[]);
     driver.record();
     driver.record();
     let again = driver.settle();
@@ -104,15 +104,15 @@
 #[test]
 fn a_start_that_may_have_reached_the_next_life_is_stopped_there_before_the_task_starts_again() {
     let (mut driver, first) = with_a_worker();
-    driver.hold(first, &[]);
+    driver.report_running(first, &[]);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     let start = driver.settle().remove(0);
-    driver.apply(Event::Reborn { worker: first });
+    driver.apply(Event::Restarted { worker: first });
     driver.record();
     assert!(driver.settle().is_empty(), "it may run in the next life");
     unlist_life(&mut driver, 1);
     let next = list_life(&mut driver, 2);
-    driver.hold(next, &[(start.task, start.run, 10)]);
+    driver.report_running(next, &[(start.task, start.run, 10)]);
     assert_eq!(driver.stops[0].worker, next);
     assert!(driver.settle().is_empty());
     driver.apply(Event::StopAnswered {
@@ -129,11 +129,11 @@
 #[test]
 fn a_late_answer_to_the_life_before_changes_nothing_of_the_next() {
     let (mut driver, first) = with_a_worker();
-    driver.hold(first, &[]);
+    driver.report_running(first, &[]);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     driver.schedule();
     let start = driver.starts.remove(0);
-    driver.apply(Event::Reborn { worker: first });
+    driver.apply(Event::Restarted { worker: first });
     unlist_life(&mut driver, 1);
     let next = list_life(&mut driver, 2);
     driver.apply(Event::StartAnswered {
@@ -143,15 +143,15 @@
         answer: StartAnswer::Started,
     });
     driver.apply(Event::RenewalFailed { worker: first });
-    driver.apply(Event::Reborn { worker: first });
-    driver.hold(next, &[]);
+    driver.apply(Event::Restarted { worker: first });
+    driver.report_running(next, &[]);
     assert!(driver.settle().is_empty(), "its stop has no answer yet");
     driver.stop_taken(&syc_sched::StartOrder {
         worker: next,
         ..start
     });
-    driver.pass(10);
-    driver.hold(next, &[]);
+    driver.advance(10);
+    driver.report_running(next, &[]);
     driver.record();
     assert_eq!(driver.settle().len(), 1);
 }
@@ -159,10 +159,10 @@
 #[test]
 fn a_start_whose_worker_nobody_hears_of_again_is_over_when_the_longest_lease_is() {
     let (mut driver, first) = with_a_worker();
-    driver.hold(first, &[]);
+    driver.report_running(first, &[]);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     driver.settle();
-    driver.apply(Event::Reborn { worker: first });
+    driver.apply(Event::Restarted { worker: first });
     unlist_life(&mut driver, 1);
     let other = WorkerSpec {
         id: WorkerId::of_life("other", Some(1)),
@@ -170,12 +170,12 @@
     };
     driver.apply(Event::WorkerListed(other));
     let other = driver.workers[driver.workers.len() - 1];
-    driver.hold(other, &[]);
+    driver.report_running(other, &[]);
     let longest_ms = driver.scheduler.options().longest_lease_ms;
-    driver.pass(longest_ms - 100);
+    driver.advance(longest_ms - 100);
     driver.apply(Event::Ticked);
     assert!(driver.settle().is_empty());
-    driver.pass(200);
+    driver.advance(200);
     driver.apply(Event::Ticked);
     driver.record();
     assert_eq!(driver.settle().len(), 1);
@@ -185,7 +185,7 @@
 #[test]
 fn a_step_that_the_life_before_might_not_run_asks_about_the_next() {
     let (mut driver, first) = with_a_worker();
-    driver.hold(first, &[]);
+    driver.report_running(first, &[]);
     let advised = QueuePolicy {
         advice: Some(AdvicePolicy {
             decision_ms: 10.0,
@@ -196,7 +196,7 @@
     };
     driver.submit(1, advised, vec![step(1, 1)]);
     driver.schedule();
-    let (id, asked) = driver.asks.remove(0);
+    let (id, asked) = driver.advice_requests.remove(0);
     let denied = AdviceAnswer::Given {
         allowed: Vec::new(),
         validity_ms: 2_000,
@@ -206,15 +206,18 @@
         asked,
         answer: denied,
     });
-    driver.pass(5_000);
+    driver.advance(5_000);
     driver.schedule();
-    assert!(driver.asks.is_empty(), "all have been asked about");
-    driver.apply(Event::Reborn { worker: first });
+    assert!(
+        driver.advice_requests.is_empty(),
+        "all have been asked about"
+    );
+    driver.apply(Event::Restarted { worker: first });
     unlist_life(&mut driver, 1);
     let next = list_life(&mut driver, 2);
-    driver.hold(next, &[]);
+    driver.report_running(next, &[]);
     driver.schedule();
-    assert_eq!(driver.asks, [(id, vec![next])]);
+    assert_eq!(driver.advice_requests, [(id, vec![next])]);
 }
 
 /// Its worker started again before it had listed the run, and another worker has room: a start there would run beside
@@ -222,20 +225,20 @@
 #[test]
 fn a_start_that_may_have_reached_the_next_life_goes_nowhere_else_before_it_was_stopped() {
     let (mut driver, first) = with_a_worker();
-    driver.hold(first, &[]);
+    driver.report_running(first, &[]);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     let start = driver.settle().remove(0);
     driver.apply(Event::WorkerListed(worker(1, 8)));
     let other = driver.workers[driver.workers.len() - 1];
-    driver.hold(other, &[]);
-    driver.apply(Event::Reborn { worker: first });
+    driver.report_running(other, &[]);
+    driver.apply(Event::Restarted { worker: first });
     driver.record();
     assert!(driver.settle().is_empty(), "it may run in the next life");
     unlist_life(&mut driver, 1);
     let next = list_life(&mut driver, 2);
     let stops: Vec<_> = driver.stops.iter().map(|stop| stop.worker).collect();
     assert_eq!(stops, [next]);
-    driver.hold(next, &[]);
+    driver.report_running(next, &[]);
     driver.record();
     assert!(
         driver.settle().is_empty(),
@@ -245,8 +248,8 @@
         worker: next,
         ..start.clone()
     });
-    driver.pass(10);
-    driver.hold(next, &[]);
+    driver.advance(10);
+    driver.report_running(next, &[]);
     driver.record();
     let again = driver.settle();
     let runs: Vec<_> = again.iter().map(|start| start.run).collect();
--- a/crates/sched/tests/core/keeping.rs
+++ b/crates/sched/tests/core/retention.rs
@@ -25,65 +25,65 @@
 use crate::driver::policy;
 use crate::driver::step;
 
-const STEPS_MS: [i64; 7] = [0, -2_000, 2_000, -200_000, 200_000, -86_400_000, 86_400_000];
+const CLOCK_OFFSETS_MS: [i64; 7] = [0, -2_000, 2_000, -200_000, 200_000, -86_400_000, 86_400_000];
 
 const MINUTE_MS: u64 = 60_000;
 
 /// Where the steady clock of a process may stand when it begins: no two are alike.
-const ORIGINS_MS: [u64; 3] = [1_000, 7_000_000_000, 50_000];
+const STEADY_OFFSETS_MS: [u64; 3] = [1_000, 7_000_000_000, 50_000];
 
 /// The store, and the scheduler of the moment.
-struct World {
+struct Simulation {
     /// True time.
     at_ms: u64,
     scheduler: Scheduler,
     /// What the scheduler's steady clock shows beyond the true time, and by how much its time of day is off.
-    origin_ms: u64,
-    shift_ms: i64,
+    steady_offset_ms: u64,
+    clock_offset_ms: i64,
     tenures: usize,
-    kept: BTreeMap<JobId, JobProgress>,
+    stored: BTreeMap<JobId, JobProgress>,
     /// When each end was first shown, in true time.
-    shown_at_ms: BTreeMap<JobId, u64>,
+    visible_at_ms: BTreeMap<JobId, u64>,
     next_job: u64,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         Self {
             at_ms: 0,
             scheduler: Scheduler::new(Options::default()),
-            origin_ms: ORIGINS_MS[0],
-            shift_ms: 0,
+            steady_offset_ms: STEADY_OFFSETS_MS[0],
+            clock_offset_ms: 0,
             tenures: 0,
-            kept: BTreeMap::new(),
-            shown_at_ms: BTreeMap::new(),
+            stored: BTreeMap::new(),
+            visible_at_ms: BTreeMap::new(),
             next_job: 1,
         }
     }
 
     fn now(&self) -> Millis {
-        Millis(self.at_ms + self.origin_ms)
+        Millis(self.at_ms + self.steady_offset_ms)
     }
 
     fn day(&self) -> TimeOfDay {
-        TimeOfDay((1_790_000_000_000 + self.at_ms).saturating_add_signed(self.shift_ms))
+        TimeOfDay((1_790_000_000_000 + self.at_ms).saturating_add_signed(self.clock_offset_ms))
     }
 
     /// Another scheduler reads what the store has.
     fn take_over(&mut self, shift_ms: i64) {
         self.tenures += 1;
-        self.shift_ms = shift_ms;
-        self.origin_ms = ORIGINS_MS[self.tenures % ORIGINS_MS.len()];
+        self.clock_offset_ms = shift_ms;
+        self.steady_offset_ms = STEADY_OFFSETS_MS[self.tenures % STEADY_OFFSETS_MS.len()];
         self.scheduler = Scheduler::new(Options::default());
-        let ended = self.kept.iter().map(|(id, progress)| EndedJob {
+        let ended = self.stored.iter().map(|(id, progress)| EndedJob {
             id: *id,
             state: progress.state,
             ended_at: progress.ended_at_cell_ms,
         });
         let ended: Vec<_> = ended.collect();
-        self.scheduler.restore_ended(&ended, self.now());
+        self.scheduler.restore_ended_jobs(&ended, self.now());
         for ended in ended {
-            self.shown_at_ms.entry(ended.id).or_insert(self.at_ms);
+            self.visible_at_ms.entry(ended.id).or_insert(self.at_ms);
         }
         self.scheduler.begin_recovery(self.now());
     }
@@ -94,10 +94,10 @@
             let Action::Forget(id) = action else {
                 continue;
             };
-            let kept_ms = self.at_ms - self.shown_at_ms[&id];
+            let kept_ms = self.at_ms - self.visible_at_ms[&id];
             let status_ms = Options::default().status_ms;
             assert!(kept_ms >= status_ms, "{id} was kept for {kept_ms} ms");
-            self.kept.remove(&id);
+            self.stored.remove(&id);
         }
     }
 
@@ -116,13 +116,13 @@
 
     /// The store takes it, and the scheduler hears so and shows it.
     fn record(&mut self, (id, change, progress): (JobId, u64, JobProgress)) {
-        self.kept.insert(id, progress);
+        self.stored.insert(id, progress);
         let jobs = vec![(id, change)];
         self.apply(Event::Recorded { jobs });
-        self.shown_at_ms.insert(id, self.at_ms);
+        self.visible_at_ms.insert(id, self.at_ms);
     }
 
-    fn pass(&mut self, time_ms: u64) {
+    fn advance(&mut self, time_ms: u64) {
         self.at_ms += time_ms;
         self.apply(Event::Ticked);
     }
@@ -134,31 +134,31 @@
 
 /// The clock is off on the scheduler that writes the end, on its successor, or on both; and it is set in between.
 #[test]
-fn a_step_of_any_size_on_any_scheduler_forgets_nothing_early() {
+fn clock_steps_never_shorten_retention() {
     let status_ms = Options::default().status_ms;
-    for first in STEPS_MS {
-        for second in STEPS_MS {
-            for third in STEPS_MS {
-                let mut world = World::new();
-                world.take_over(first);
-                let end = world.end_job();
+    for first in CLOCK_OFFSETS_MS {
+        for second in CLOCK_OFFSETS_MS {
+            for third in CLOCK_OFFSETS_MS {
+                let mut simulation = Simulation::new();
+                simulation.take_over(first);
+                let end = simulation.end_job();
                 let id = end.0;
-                world.shift_ms = second;
-                world.record(end);
-                world.pass(2_000);
-                assert!(world.knows(id));
-                world.take_over(second);
-                world.pass(100);
-                world.shift_ms = third;
-                world.pass(status_ms / 2);
-                assert!(world.knows(id), "{first}, {second}, {third}");
-                world.take_over(third);
-                world.pass(status_ms - status_ms / 2 - 2_000 - 200);
-                assert!(world.knows(id), "{first}, {second}, {third}");
-                assert!(world.kept.contains_key(&id));
-                world.pass(status_ms);
-                assert!(!world.knows(id), "it is forgotten in the end");
-                assert!(world.kept.is_empty());
+                simulation.clock_offset_ms = second;
+                simulation.record(end);
+                simulation.advance(2_000);
+                assert!(simulation.knows(id));
+                simulation.take_over(second);
+                simulation.advance(100);
+                simulation.clock_offset_ms = third;
+                simulation.advance(status_ms / 2);
+                assert!(simulation.knows(id), "{first}, {second}, {third}");
+                simulation.take_over(third);
+                simulation.advance(status_ms - status_ms / 2 - 2_000 - 200);
+                assert!(simulation.knows(id), "{first}, {second}, {third}");
+                assert!(simulation.stored.contains_key(&id));
+                simulation.advance(status_ms);
+                assert!(!simulation.knows(id), "it is forgotten in the end");
+                assert!(simulation.stored.is_empty());
             }
         }
     }
@@ -167,60 +167,60 @@
 /// The store took an end late, or the answer was lost and a successor is the first to show it.
 #[test_case(true; "the scheduler hears of it")]
 #[test_case(false; "a successor finds it")]
-fn what_was_written_late_is_kept_from_when_it_was_shown(heard: bool) {
+fn retention_of_late_write_starts_when_the_end_is_visible(heard: bool) {
     let status_ms = Options::default().status_ms;
-    let mut world = World::new();
-    world.take_over(0);
-    let end = world.end_job();
+    let mut simulation = Simulation::new();
+    simulation.take_over(0);
+    let end = simulation.end_job();
     let id = end.0;
-    world.pass(status_ms * 2);
+    simulation.advance(status_ms * 2);
     if heard {
-        world.record(end);
+        simulation.record(end);
     } else {
-        world.kept.insert(end.0, end.2);
+        simulation.stored.insert(end.0, end.2);
     }
-    let next = world.end_job();
-    world.record(next);
-    world.take_over(0);
-    world.pass(status_ms);
-    assert!(world.knows(id));
+    let next = simulation.end_job();
+    simulation.record(next);
+    simulation.take_over(0);
+    simulation.advance(status_ms);
+    assert!(simulation.knows(id));
 }
 
 /// What an earlier version wrote says nothing of the cell's time.
 #[test]
-fn an_end_without_the_cells_time_is_kept_from_the_takeover_on() {
+fn end_without_cell_time_is_retained_from_takeover() {
     let status_ms = Options::default().status_ms;
-    let mut world = World::new();
+    let mut simulation = Simulation::new();
     let progress = JobProgress {
         state: JobState::Cancelled,
         ended_at_ms: TimeOfDay(1),
         ..JobProgress::default()
     };
-    world.kept.insert(JobId(1), progress);
-    world.take_over(0);
-    world.pass(status_ms);
-    assert!(world.knows(JobId(1)));
-    world.pass(1);
-    assert!(!world.knows(JobId(1)));
+    simulation.stored.insert(JobId(1), progress);
+    simulation.take_over(0);
+    simulation.advance(status_ms);
+    assert!(simulation.knows(JobId(1)));
+    simulation.advance(1);
+    assert!(!simulation.knows(JobId(1)));
 }
 
 /// A scheduler a minute, for two days: less than it takes to forget anything.
 #[test]
-fn what_is_kept_stays_bounded_while_schedulers_change_each_minute() {
+fn retained_jobs_stay_bounded_with_takeovers_every_minute() {
     const TENURES: u64 = 2 * 24 * 60;
     const ENDS_A_TENURE: u64 = 12;
     let status_ms = Options::default().status_ms;
-    let mut world = World::new();
+    let mut simulation = Simulation::new();
     let mut most = 0;
     for tenure in 0..TENURES {
-        let shift = usize::try_from(tenure).unwrap_or(0) % STEPS_MS.len();
-        world.take_over(STEPS_MS[shift]);
+        let shift = usize::try_from(tenure).unwrap_or(0) % CLOCK_OFFSETS_MS.len();
+        simulation.take_over(CLOCK_OFFSETS_MS[shift]);
         for _ in 0..ENDS_A_TENURE {
-            world.pass(MINUTE_MS / ENDS_A_TENURE);
-            let end = world.end_job();
-            world.record(end);
+            simulation.advance(MINUTE_MS / ENDS_A_TENURE);
+            let end = simulation.end_job();
+            simulation.record(end);
         }
-        most = most.max(world.kept.len());
+        most = most.max(simulation.stored.len());
     }
     // As many as end in the time for which they are kept, and in one more tenure.
     let bound = ENDS_A_TENURE * (status_ms / MINUTE_MS + 1) + 1;
@@ -231,46 +231,49 @@
 #[test_case(1)]
 #[test_case(2)]
 #[test_case(3)]
-fn generated_takeovers_and_steps_forget_nothing_early(seed: u64) {
+fn random_takeovers_and_clock_steps_never_shorten_retention(seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut world = World::new();
-    world.take_over(0);
+    let mut simulation = Simulation::new();
+    simulation.take_over(0);
     for _ in 0..5_000 {
         match rng.random_range(0..10) {
             0 => {
-                let shift_ms = STEPS_MS[rng.random_range(0..STEPS_MS.len())];
-                world.take_over(shift_ms);
+                let shift_ms = CLOCK_OFFSETS_MS[rng.random_range(0..CLOCK_OFFSETS_MS.len())];
+                simulation.take_over(shift_ms);
+            }
+            1 => {
+                simulation.clock_offset_ms =
+                    CLOCK_OFFSETS_MS[rng.random_range(0..CLOCK_OFFSETS_MS.len())];
             }
-            1 => world.shift_ms = STEPS_MS[rng.random_range(0..STEPS_MS.len())],
             2..=4 => {
-                let end = world.end_job();
+                let end = simulation.end_job();
                 let late_ms = rng.random_range(0..20_000);
-                world.pass(late_ms);
+                simulation.advance(late_ms);
                 if rng.random_bool(0.8) {
-                    world.record(end);
+                    simulation.record(end);
                 } else {
                     // The answer was lost with the scheduler.
-                    world.kept.insert(end.0, end.2);
-                    world.take_over(0);
+                    simulation.stored.insert(end.0, end.2);
+                    simulation.take_over(0);
                 }
             }
-            _ => world.pass(rng.random_range(0..30_000)),
+            _ => simulation.advance(rng.random_range(0..30_000)),
         }
     }
-    assert!(world.next_job > 1_000);
-    let kept: Vec<_> = world.kept.keys().copied().collect();
-    assert!(kept.into_iter().all(|id| world.knows(id)));
+    assert!(simulation.next_job > 1_000);
+    let kept: Vec<_> = simulation.stored.keys().copied().collect();
+    assert!(kept.into_iter().all(|id| simulation.knows(id)));
 }
 
 /// Its record would stay in the store for good, and with it the job's progress.
 #[test]
-fn a_cancelling_after_the_end_is_removed() {
-    let mut world = World::new();
-    world.take_over(0);
-    let end = world.end_job();
+fn cancellation_after_the_end_is_removed() {
+    let mut simulation = Simulation::new();
+    simulation.take_over(0);
+    let end = simulation.end_job();
     let id = end.0;
-    world.record(end);
-    let now = world.now();
-    let actions = world.scheduler.handle(Event::JobCancelled(id), now);
+    simulation.record(end);
+    let now = simulation.now();
+    let actions = simulation.scheduler.handle(Event::JobCancelled(id), now);
     assert_eq!(actions, [Action::DropSpec(id)]);
 }
--- a/crates/sched/tests/core/review.rs
+++ b/crates/sched/tests/core/review.rs
@@ -36,8 +36,8 @@
     driver.submit(1, policy(0), vec![step(1, 1)]);
     driver.schedule();
     let long = driver.starts.remove(0);
-    driver.pass(50);
-    driver.hold(long.worker, &[(long.task, long.run, 0)]);
+    driver.advance(50);
+    driver.report_running(long.worker, &[(long.task, long.run, 0)]);
     driver.submit(2, policy(0), vec![step(6, 1)]);
     driver.schedule();
     let unsent = std::mem::take(&mut driver.starts);
@@ -45,12 +45,12 @@
     for start in &unsent {
         answer(&mut driver, start, StartAnswer::NotSent);
     }
-    driver.pass(200);
+    driver.advance(200);
     answer(&mut driver, &long, StartAnswer::InDoubt);
     for percent in 1..100 {
-        driver.pass(600);
+        driver.advance(600);
         driver.renew_leases();
-        driver.hold(long.worker, &[(long.task, long.run, percent)]);
+        driver.report_running(long.worker, &[(long.task, long.run, percent)]);
         driver.apply(Event::Ticked);
         driver.record();
         driver.schedule();
@@ -58,7 +58,7 @@
     assert!(
         !(driver.starts.is_empty() && driver.stops.is_empty()),
         "nothing was sent to a sound worker for a minute: {:?}",
-        driver.beliefs
+        driver.status_changes
     );
 }
 
@@ -114,13 +114,13 @@
     driver.submit(2, policy(1), vec![fills]);
     driver.schedule();
     let starts = driver.confirm_starts();
-    driver.pass(500);
+    driver.advance(500);
     let loads = [(&starts[0], 90), (&starts[1], 4_000)];
-    driver.hold_loads(starts[0].worker, &loads);
+    driver.report_loads(starts[0].worker, &loads);
     assert!(driver.answer_paces(false).is_some(), "the first order");
     let mut repeats = 0;
     for _ in 0..Options::default().order_retry_ms / 2 {
-        driver.hold_loads(starts[0].worker, &loads);
+        driver.report_loads(starts[0].worker, &loads);
         repeats += u32::from(driver.answer_paces(false).is_some());
     }
     assert_eq!(repeats, 0, "orders sent again within 150 ms");
@@ -141,7 +141,7 @@
     let serving = driver.confirm_starts();
     let shut = serving[0].worker;
     assert!(serving.iter().all(|start| start.worker == shut));
-    driver.pass(10);
+    driver.advance(10);
     driver.submit(2, policy(0), vec![step(1, 1)]);
     driver.schedule();
     let untaken = driver.starts.remove(0);
@@ -149,11 +149,11 @@
     answer(&mut driver, &untaken, StartAnswer::InDoubt);
     let running: Vec<_> = serving.iter().map(|s| (s.task, s.run, 100)).collect();
     for _ in 0..600 {
-        driver.pass(100);
+        driver.advance(100);
         driver.renew_leases();
         let workers = driver.workers.clone();
-        driver.hold(workers[0], if workers[0] == shut { &running } else { &[] });
-        driver.hold(workers[1], if workers[1] == shut { &running } else { &[] });
+        driver.report_running(workers[0], if workers[0] == shut { &running } else { &[] });
+        driver.report_running(workers[1], if workers[1] == shut { &running } else { &[] });
         driver.apply(Event::Ticked);
         driver.record();
         driver.schedule();
@@ -172,5 +172,5 @@
             answer(&mut driver, &start, StartAnswer::InDoubt);
         }
     }
-    panic!("it waited for a minute: {:?}", driver.beliefs);
+    panic!("it waited for a minute: {:?}", driver.status_changes);
 }
--- a/crates/sched/tests/core/rooms.rs
+++ b/crates/sched/tests/core/rooms.rs
@@ -33,7 +33,7 @@
     shrink(&mut driver, 4);
     driver.submit(2, policy(0), vec![step(1, 1)]);
     assert!(driver.settle().is_empty());
-    driver.end(
+    driver.report_end(
         &started[0],
         syc_sched::RunEnd::Done,
         &[(started[1].task, started[1].run, 10)],
@@ -47,8 +47,8 @@
     let mut driver = Driver::new(1, 8);
     let worker = driver.workers[0];
     driver.apply(Event::RenewalFailed { worker });
-    driver.pass(4_000);
-    driver.hold(worker, &[]);
+    driver.advance(4_000);
+    driver.report_running(worker, &[]);
     driver.submit(1, policy(0), vec![step(1, 4)]);
     assert!(driver.settle().is_empty());
     shrink(&mut driver, 2);
@@ -73,7 +73,7 @@
     }
     shrink(&mut driver, 4);
     for _ in 0..20 {
-        driver.pass(100);
+        driver.advance(100);
         driver.apply(Event::Ticked);
     }
     assert!(driver.starts.is_empty());
@@ -106,8 +106,8 @@
     let worker = driver.workers[0];
     driver.read_workers();
     driver.apply(Event::RenewalFailed { worker });
-    driver.pass(4_000);
-    driver.hold(worker, &[]);
+    driver.advance(4_000);
+    driver.report_running(worker, &[]);
     (driver, worker)
 }
 
@@ -121,8 +121,8 @@
     while driver.now < answered_at.plus(told_within_ms) {
         driver.read_workers();
         assert!(driver.settle().is_empty(), "it may have told nothing since");
-        driver.pass(250);
-        driver.hold(worker, &[]);
+        driver.advance(250);
+        driver.report_running(worker, &[]);
     }
     driver.read_workers();
     assert_eq!(driver.settle().len(), 1);
@@ -134,13 +134,13 @@
     let (mut driver, worker) = answering_after_a_long_silence();
     driver.submit(1, policy(0), vec![step(1, 4)]);
     let told_within_ms = Options::default().told_within_ms;
-    driver.pass(told_within_ms);
+    driver.advance(told_within_ms);
     driver.read_workers();
     assert!(driver.settle().is_empty());
     let read_again_at = driver.now;
     while driver.now < read_again_at.plus(told_within_ms) {
-        driver.pass(250);
-        driver.hold(worker, &[]);
+        driver.advance(250);
+        driver.report_running(worker, &[]);
         driver.read_workers();
     }
     assert_eq!(driver.settle().len(), 1);
@@ -152,8 +152,8 @@
     let (mut driver, worker) = answering_after_a_long_silence();
     driver.submit(1, policy(0), vec![step(1, 4)]);
     for _ in 0..5 {
-        driver.pass(2_000);
-        driver.hold(worker, &[]);
+        driver.advance(2_000);
+        driver.report_running(worker, &[]);
         driver.read_workers();
     }
     assert_eq!(driver.settle().len(), 1);
@@ -165,7 +165,7 @@
     let (mut driver, _worker) = answering_after_a_long_silence();
     driver.submit(1, policy(0), vec![step(1, 4)]);
     driver.schedule();
-    driver.pass(1_000);
+    driver.advance(1_000);
     let actions = driver.scheduler.schedule(driver.now);
     let told = actions.into_iter().find_map(|action| match action {
         Action::Note(Note::Waiting { hindered, .. }) => Some(hindered),
--- a/crates/sched/tests/core/order.rs
+++ b/crates/sched/tests/core/serving_order.rs
@@ -12,15 +12,15 @@
 #[test_case(2_000, 1; "in time")]
 #[test_case(7_000, 1; "late, but of use")]
 #[test_case(10_000, 2; "past use")]
-fn what_waited_longer_goes_first_while_it_is_of_use(waited_ms: u64, first: u64) {
+fn older_job_goes_first_until_it_expires(waited_ms: u64, first: u64) {
     let mut driver = Driver::new(1, 1);
     driver.submit(9, policy(1), vec![step(1, 1)]);
     driver.schedule();
     let running = driver.confirm_starts().remove(0);
     driver.submit(1, policy(1), vec![step(1, 1)]);
-    driver.pass(waited_ms);
+    driver.advance(waited_ms);
     driver.submit(2, policy(1), vec![step(1, 1)]);
-    driver.end(&running, RunEnd::Done, &[]);
+    driver.report_end(&running, RunEnd::Done, &[]);
     driver.record();
     driver.schedule();
     let started = driver.confirm_starts();
--- a/crates/sched/tests/core/sharing.rs
+++ b/crates/sched/tests/core/sharing.rs
@@ -53,8 +53,8 @@
 ) -> Option<u8> {
     let mut last = None;
     for _ in 0..times {
-        driver.pass(500);
-        driver.hold_loads(runs.0.worker, &[(runs.0, tail_ms), (runs.1, 4_000)]);
+        driver.advance(500);
+        driver.report_loads(runs.0.worker, &[(runs.0, tail_ms), (runs.1, 4_000)]);
         last = driver.answer_paces(true).or(last);
     }
     last
@@ -90,7 +90,7 @@
     driver.submit(2, policy(1), vec![small]);
     driver.schedule();
     assert!(driver.starts.is_empty(), "nothing is left unused");
-    driver.pass(3_500);
+    driver.advance(3_500);
     driver.schedule();
     assert_eq!(driver.starts.len(), 1);
 }
@@ -119,8 +119,8 @@
     assert_eq!(report(&mut driver, (&shop, &crunch), 150, 4), Some(0));
     driver.cancel(1);
     driver.stop_taken(&shop);
-    driver.pass(1_000);
-    driver.hold_loads(shop.worker, &[(&crunch, 0)]);
+    driver.advance(1_000);
+    driver.report_loads(shop.worker, &[(&crunch, 0)]);
     assert_eq!(driver.answer_paces(true), Some(100));
 }
 
@@ -128,13 +128,13 @@
 #[test]
 fn a_pace_in_doubt_is_ordered_again_until_no_late_order_can_come() {
     let (mut driver, shop, crunch) = shared_worker();
-    driver.pass(500);
-    driver.hold_loads(shop.worker, &[(&shop, 90), (&crunch, 4_000)]);
+    driver.advance(500);
+    driver.report_loads(shop.worker, &[(&shop, 90), (&crunch, 4_000)]);
     assert_eq!(driver.answer_paces(false), Some(50));
     let mut orders = 0;
     for _ in 0..40 {
-        driver.pass(500);
-        driver.hold_loads(shop.worker, &[(&shop, 75), (&crunch, 4_000)]);
+        driver.advance(500);
+        driver.report_loads(shop.worker, &[(&shop, 75), (&crunch, 4_000)]);
         orders += u32::from(driver.answer_paces(true).is_some());
     }
     assert!((24..=28).contains(&orders), "{orders} orders in 13 s");
@@ -151,7 +151,7 @@
     }
     driver.apply(Event::WorkerListed(worker(0, 8)));
     driver.scheduler.begin_recovery(driver.now);
-    driver.hold_loads(driver.workers[0], &[(&shop, tail_ms), (&crunch, 4_000)]);
+    driver.report_loads(driver.workers[0], &[(&shop, tail_ms), (&crunch, 4_000)]);
     assert_eq!(driver.answer_paces(true), pace);
 }
 
@@ -180,7 +180,7 @@
     report(&mut driver, (&shop, &beside_shop), 90, 8);
     report(&mut driver, (&files, &beside_files), 20, 8);
     for (done, beside) in [(&beside_shop, &shop), (&beside_files, &files)] {
-        driver.end(done, RunEnd::Done, &[(beside.task, beside.run, 100)]);
+        driver.report_end(done, RunEnd::Done, &[(beside.task, beside.run, 100)]);
     }
     driver.record();
     driver.submit(4, policy(1), vec![filling(1, 4)]);
--- a/crates/sched/tests/core/silence.rs
+++ b/crates/sched/tests/core/silence.rs
@@ -16,13 +16,13 @@
     let started = driver.confirm_starts();
     let worker = started[0].worker;
     driver.apply(Event::Renewing { worker });
-    driver.pass(500);
+    driver.advance(500);
     driver.apply(Event::RenewalFailed { worker });
-    driver.pass(Options::default().lease_bound_ms - 600);
+    driver.advance(Options::default().lease_bound_ms - 600);
     driver.apply(Event::Ticked);
     driver.schedule();
     assert!(driver.starts.is_empty(), "the lease may still last");
-    driver.pass(200);
+    driver.advance(200);
     driver.apply(Event::Ticked);
     driver.record();
     driver.schedule();
@@ -53,14 +53,14 @@
     driver.submit(1, policy(0), vec![step(1, 2)]);
     driver.schedule();
     let first = driver.starts.remove(0);
-    driver.pass(1);
+    driver.advance(1);
     driver.apply(Event::StartAnswered {
         worker: first.worker,
         task: first.task,
         run: first.run,
         answer: StartAnswer::InDoubt,
     });
-    driver.pass(Options::default().order_retry_ms);
+    driver.advance(Options::default().order_retry_ms);
     driver.apply(Event::Ticked);
     let again: Vec<_> = driver.starts.iter().map(|s| (s.run, s.retries)).collect();
     assert_eq!(again, [(first.run, 1)]);
@@ -79,7 +79,7 @@
         answer: StartAnswer::InDoubt,
     };
     for _ in 0..Options::default().start_orders_limit {
-        driver.pass(Options::default().repeat_limit_ms);
+        driver.advance(Options::default().repeat_limit_ms);
         driver.apply(doubt.clone());
         driver.apply(Event::Ticked);
     }
@@ -90,8 +90,8 @@
     driver.schedule();
     assert!(driver.starts.is_empty(), "the stop is not taken yet");
     driver.stop_taken(&first);
-    driver.pass(10);
-    driver.hold(first.worker, &[]);
+    driver.advance(10);
+    driver.report_running(first.worker, &[]);
     driver.record();
     driver.schedule();
     assert_eq!(driver.starts.len(), 1);
@@ -103,10 +103,10 @@
     let mut driver = Driver::new(1, 2);
     driver.submit(1, policy(0), vec![step(1, 2)]);
     let sent_at = driver.now;
-    driver.pass(5);
+    driver.advance(5);
     driver.schedule();
     let started = driver.confirm_starts();
-    driver.pass(5);
+    driver.advance(5);
     driver.apply(Event::Renewed {
         worker: started[0].worker,
         sent_at,
@@ -122,7 +122,7 @@
     let mut driver = Driver::new(1, 4);
     driver.submit(1, policy(0), vec![step(2, 1)]);
     driver.schedule();
-    driver.pass(200);
+    driver.advance(200);
     let counts = driver.scheduler.counts(driver.now);
     assert_eq!((counts.doubtful_runs, counts.oldest_doubt_ms), (2, 200));
     let started = driver.confirm_starts();
@@ -130,7 +130,7 @@
     assert_eq!((counts.doubtful_runs, counts.oldest_doubt_ms), (0, 0));
     driver.cancel(1);
     driver.stop_taken(&started[0]);
-    driver.pass(50);
+    driver.advance(50);
     let counts = driver.scheduler.counts(driver.now);
     assert_eq!((counts.doubtful_runs, counts.oldest_doubt_ms), (1, 50));
 }
@@ -142,7 +142,7 @@
     driver.schedule();
     let started = driver.confirm_starts();
     let worker = started[0].worker;
-    driver.pass(500);
+    driver.advance(500);
     driver.apply(Event::RenewalFailed { worker });
     let counts = driver.scheduler.counts(driver.now);
     let bound_ms = driver.scheduler.options().lease_bound_ms;
--- a/crates/sched/tests/core/site.rs
+++ b/crates/sched/tests/core/site.rs
@@ -53,7 +53,7 @@
 
 impl Site {
     pub fn new(workers: usize, cores: u64) -> Self {
-        let driver = Driver::untried(workers, cores);
+        let driver = Driver::with_untried_workers(workers, cores);
         let models = driver.workers.iter();
         let models = models.map(|key| (*key, Model::default())).collect();
         Self {
@@ -110,7 +110,7 @@
     /// Returns what was believed of a worker, in turn.
     pub fn beliefs_of(&self, index: usize) -> Vec<&'static str> {
         let name = format!("w-{index}");
-        let beliefs = self.driver.beliefs.iter();
+        let beliefs = self.driver.status_changes.iter();
         let of_worker = beliefs.filter(|(worker, _)| worker.as_str() == name);
         of_worker.map(|(_, belief)| *belief).collect()
     }
@@ -120,7 +120,7 @@
     }
 
     fn step(&mut self) {
-        self.driver.pass(STEP_MS);
+        self.driver.advance(STEP_MS);
         self.advance();
         for key in self.driver.workers.clone() {
             self.renew(key);
--- a/crates/sched/tests/core/slow.rs
+++ b/crates/sched/tests/core/slow.rs
@@ -39,10 +39,10 @@
         for worker in driver.workers.clone() {
             let whole_ms = if worker == first { 4_000 * slow } else { 4_000 };
             let listed = percents(&started, worker, after_ms, whole_ms);
-            driver.hold(worker, &listed);
+            driver.report_running(worker, &listed);
         }
         driver.apply(Event::Ticked);
-        driver.pass(100);
+        driver.advance(100);
     }
     started
 }
@@ -84,9 +84,9 @@
         let ended: Vec<_> = here.map(|s| (s.task, s.run, RunEnd::Done)).collect();
         driver.report(worker, &[], &ended);
     }
-    driver.pass(4_500);
+    driver.advance(4_500);
     for worker in driver.workers.clone() {
-        driver.hold(worker, &[]);
+        driver.report_running(worker, &[]);
     }
     assert!(next_workers(&mut driver).contains(&first));
 }
@@ -167,9 +167,9 @@
                 };
                 (task, Run(1), percent)
             });
-            driver.hold(key, &running);
+            driver.report_running(key, &running);
         }
-        driver.pass(100);
+        driver.advance(100);
     }
     assert_eq!(driver.stops, []);
     let first = driver.workers[0];
--- a/crates/sched/tests/core/spread.rs
+++ b/crates/sched/tests/core/spread.rs
@@ -25,15 +25,15 @@
     let running = driver.confirm_starts();
     assert_eq!(running.len(), 8);
     let listed: Vec<_> = running.iter().map(|s| (s.task, s.run, 10)).collect();
-    driver.hold(driver.workers[0], &listed);
+    driver.report_running(driver.workers[0], &listed);
 
     driver.submit(2, policy(0), vec![spread(2, 2)]);
     driver.schedule();
-    driver.pass(100);
-    driver.hold(driver.workers[0], &[]);
+    driver.advance(100);
+    driver.report_running(driver.workers[0], &[]);
     for _ in 0..3 {
         driver.schedule();
-        driver.pass(5);
+        driver.advance(5);
     }
 
     let urgent = driver.starts.iter().filter(|s| s.task.step.job.0 == 2);
--- a/crates/sched/tests/core/takeover.rs
+++ b/crates/sched/tests/core/takeover.rs
@@ -43,12 +43,12 @@
 }
 
 #[test]
-fn what_runs_goes_on() {
+fn running_task_is_adopted() {
     let mut driver = successor(2, vec![step(1, 1)], None);
     driver.schedule();
     assert!(driver.starts.is_empty());
-    driver.hold(driver.workers[0], &[(task(0), Run(1), 40)]);
-    driver.hold(driver.workers[1], &[]);
+    driver.report_running(driver.workers[0], &[(task(0), Run(1), 40)]);
+    driver.report_running(driver.workers[1], &[]);
     driver.apply(Event::Ticked);
     driver.schedule();
     assert!(driver.starts.is_empty(), "it runs already");
@@ -59,18 +59,18 @@
 }
 
 #[test]
-fn nothing_starts_again_while_a_worker_has_not_answered() {
+fn inherited_job_waits_for_unreachable_worker() {
     let mut driver = successor(2, vec![step(1, 1)], None);
-    driver.hold(driver.workers[0], &[]);
+    driver.report_running(driver.workers[0], &[]);
     driver.apply(Event::RenewalFailed {
         worker: driver.workers[1],
     });
     let options = Options::default();
-    driver.pass(options.authority_ms + options.lease_bound_ms - 100);
+    driver.advance(options.authority_ms + options.lease_bound_ms - 100);
     driver.apply(Event::Ticked);
     driver.schedule();
     assert!(driver.starts.is_empty(), "it may run on the silent worker");
-    driver.pass(200);
+    driver.advance(200);
     driver.apply(Event::Ticked);
     driver.schedule();
     assert!(
@@ -84,9 +84,9 @@
 }
 
 #[test]
-fn what_was_submitted_since_starts_at_once() {
+fn job_submitted_after_takeover_starts_immediately() {
     let mut driver = successor(2, vec![step(1, 1)], None);
-    driver.hold(driver.workers[0], &[]);
+    driver.report_running(driver.workers[0], &[]);
     driver.submit(2, policy(0), vec![step(1, 1)]);
     driver.schedule();
     let jobs: Vec<_> = driver.starts.iter().map(|s| s.task.step.job.0).collect();
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn an_end_that_was_counted_is_not_counted_again() {
+fn recorded_end_is_not_counted_twice() {
     let progress: JobProgress = serde_json::from_str(
         r#"{"state":"running","steps":[{"units":{"0":{"f":1,"r":1,"a":1}}}]}"#,
     )
@@ -109,14 +109,14 @@
 }
 
 #[test]
-fn a_gang_of_which_a_member_is_missing_is_stopped_and_starts_anew() {
+fn gang_with_missing_member_is_stopped_and_restarted() {
     let gang = StepSpec {
         gang: true,
         ..step(2, 1)
     };
     let mut driver = successor(2, vec![gang], None);
-    driver.hold(driver.workers[0], &[(task(0), Run(1), 0)]);
-    driver.hold(driver.workers[1], &[]);
+    driver.report_running(driver.workers[0], &[(task(0), Run(1), 0)]);
+    driver.report_running(driver.workers[1], &[]);
     driver.apply(Event::Ticked);
     assert_eq!(driver.stops.len(), 1);
     assert_eq!(driver.stops[0].reason, StopReason::GangBroken);
@@ -134,20 +134,20 @@
 }
 
 #[test]
-fn a_worker_that_was_given_work_and_is_registered_no_more_is_waited_for() {
+fn takeover_waits_for_unregistered_worker_with_recorded_run() {
     let progress: JobProgress = serde_json::from_str(
         r#"{"state":"running","steps":[{"units":{"0":{"r":1,"w":["w-9"]}}}]}"#,
     )
     .expect("a record as it is kept");
     let mut driver = successor(1, vec![step(1, 1)], Some(&progress));
-    driver.hold(driver.workers[0], &[]);
+    driver.report_running(driver.workers[0], &[]);
     driver.apply(Event::Ticked);
     driver.schedule();
     assert!(driver.starts.is_empty(), "it may run on the missing worker");
 }
 
 #[test]
-fn a_failed_member_that_is_listed_after_the_broken_ones_were_recorded_counts() {
+fn gang_failure_reported_after_recorded_broken_members_counts() {
     let gang = StepSpec {
         gang: true,
         ..step(2, 1)
@@ -172,7 +172,7 @@
 
 /// A successor that has read all that was stored before it began, and then reads on: a job that was stored since,
 /// which its predecessor may have read too.
-fn successor_of_one_that_may_order(workers: usize) -> Driver {
+fn successor_of_active_predecessor(workers: usize) -> Driver {
     let mut driver = Driver::new(0, 0);
     driver.scheduler.set_jobs_read(driver.now);
     for index in 0..workers {
@@ -183,9 +183,9 @@
 }
 
 #[test]
-fn what_a_predecessor_may_have_started_waits_for_the_workers_that_have_not_answered() {
-    let mut driver = successor_of_one_that_may_order(2);
-    driver.hold(driver.workers[1], &[]);
+fn job_known_to_predecessor_waits_for_unreported_workers() {
+    let mut driver = successor_of_active_predecessor(2);
+    driver.report_running(driver.workers[1], &[]);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     driver.schedule();
     assert!(driver.starts.is_empty(), "it may run on the other worker");
@@ -199,10 +199,10 @@
 }
 
 #[test]
-fn what_was_stored_after_the_predecessor_is_surely_over_starts_at_once() {
-    let mut driver = successor_of_one_that_may_order(2);
-    driver.hold(driver.workers[1], &[]);
-    driver.pass(Options::default().authority_ms);
+fn job_stored_after_predecessor_authority_ends_starts_immediately() {
+    let mut driver = successor_of_active_predecessor(2);
+    driver.report_running(driver.workers[1], &[]);
+    driver.advance(Options::default().authority_ms);
     driver.scheduler.set_jobs_read(driver.now);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     driver.schedule();
@@ -212,15 +212,15 @@
 /// Reading what is stored takes a slow store seconds, in which the predecessor's authority ends.
 #[test_case(1, 0; "a moment before its end")]
 #[test_case(0, 1; "from its end on")]
-fn a_predecessors_authority_counts_from_the_choice_of_its_successor(before_ms: u64, starts: usize) {
+fn predecessor_authority_is_measured_from_election(before_ms: u64, starts: usize) {
     let mut driver = Driver::new(0, 0);
-    driver.scheduler.set_chosen(driver.now);
+    driver.scheduler.set_elected_at(driver.now);
     driver.apply(Event::WorkerListed(worker(0, 4)));
     driver.apply(Event::WorkerListed(worker(1, 4)));
-    driver.pass(Options::default().authority_ms - before_ms);
+    driver.advance(Options::default().authority_ms - before_ms);
     driver.scheduler.set_jobs_read(driver.now);
     driver.scheduler.begin_recovery(driver.now);
-    driver.hold(driver.workers[1], &[]);
+    driver.report_running(driver.workers[1], &[]);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     driver.schedule();
     assert_eq!(driver.starts.len(), starts);
@@ -230,14 +230,14 @@
 #[test_case(RunEnd::Failed; "that failed")]
 #[test_case(RunEnd::Lapsed; "whose lease lapsed")]
 #[test_case(RunEnd::Done; "that was done, and told after its lease had lapsed")]
-fn an_end_counts_for_its_own_run_only(end: RunEnd) {
+fn end_applies_only_to_its_own_run(end: RunEnd) {
     let mut driver = successor(2, vec![step(1, 1)], None);
-    driver.hold(driver.workers[1], &[]);
+    driver.report_running(driver.workers[1], &[]);
     driver.apply(Event::RenewalFailed {
         worker: driver.workers[0],
     });
     let options = Options::default();
-    driver.pass(options.authority_ms + options.lease_bound_ms);
+    driver.advance(options.authority_ms + options.lease_bound_ms);
     driver.apply(Event::Ticked);
     driver.record();
     driver.schedule();
@@ -254,13 +254,13 @@
 }
 
 #[test]
-fn a_run_that_was_done_ends_its_task_also_where_it_was_taken_as_gone() {
+fn completed_run_ends_its_task_even_if_presumed_lost() {
     let mut driver = Driver::new(2, 4);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     driver.schedule();
     let first = driver.confirm_starts().remove(0);
-    driver.pass(1);
-    driver.hold(first.worker, &[]);
+    driver.advance(1);
+    driver.report_running(first.worker, &[]);
     driver.record();
     driver.schedule();
     let second = driver.confirm_starts().remove(0);
@@ -275,17 +275,17 @@
 /// The predecessor had the number stored that may have been used before it, and started the task under the next one
 /// just before its end.
 #[test]
-fn a_number_that_may_be_used_is_left_out_at_each_takeover() {
+fn takeover_skips_run_number_that_may_be_in_use() {
     let progress: JobProgress =
         serde_json::from_str(r#"{"state":"queued","steps":[{"units":{"0":{"r":1,"a":1}}}]}"#)
             .expect("a record as it is kept");
     let mut driver = successor(2, vec![step(1, 1)], Some(&progress));
-    driver.hold(driver.workers[1], &[]);
+    driver.report_running(driver.workers[1], &[]);
     driver.apply(Event::RenewalFailed {
         worker: driver.workers[0],
     });
     let options = Options::default();
-    driver.pass(options.authority_ms + options.lease_bound_ms);
+    driver.advance(options.authority_ms + options.lease_bound_ms);
     driver.apply(Event::Ticked);
     driver.record();
     driver.schedule();
@@ -295,7 +295,7 @@
 
 /// A worker lists so many ends at a time. What it does not list may have ended as done all the same.
 #[test]
-fn a_worker_that_has_more_ends_to_tell_is_not_heard_out() {
+fn takeover_waits_for_all_ends_of_a_worker() {
     let mut driver = successor(1, vec![step(1, 1)], None);
     let worker = driver.workers[0];
     driver.report_some_ends(worker);
@@ -309,17 +309,17 @@
 }
 
 #[test]
-fn a_run_whose_end_may_be_among_those_not_listed_goes_on() {
+fn run_is_kept_while_its_end_may_be_unlisted() {
     let mut driver = Driver::new(1, 4);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     driver.schedule();
     let start = driver.confirm_starts().remove(0);
-    driver.hold(start.worker, &[(start.task, start.run, 10)]);
+    driver.report_running(start.worker, &[(start.task, start.run, 10)]);
     driver.report_some_ends(start.worker);
     driver.record();
     driver.schedule();
     assert!(driver.starts.is_empty(), "it may be done");
-    driver.end(&start, RunEnd::Done, &[]);
+    driver.report_end(&start, RunEnd::Done, &[]);
     driver.record();
     assert_eq!(driver.state(1), Some(JobState::Completed));
 }
--- a/crates/sched/tests/core/upkeep.rs
+++ b/crates/sched/tests/core/upkeep.rs
@@ -54,7 +54,7 @@
 /// Lets time pass in steps, with a list that shows these VMs down and a store that takes everything.
 fn pass(driver: &mut Driver, vms: usize, down: &[usize], time_ms: u64) {
     for _ in 0..time_ms / 100 {
-        driver.pass(100);
+        driver.advance(100);
         driver.renew_leases();
         driver.apply(Event::Ticked);
         driver.list_vms(Some(listed(vms, down)));
@@ -156,7 +156,7 @@
         age_ms: 0,
     });
     pass(&mut driver, 3, &[], 5_000);
-    assert_eq!(driver.told, [(WAVE, true)]);
+    assert_eq!(driver.wave_reports, [(WAVE, true)]);
     assert_eq!(ordered(&mut driver), []);
 }
 
@@ -166,12 +166,12 @@
     pass(&mut driver, 2, &[], 4_000);
     answer(&mut driver, vm(0), DutyAnswer::Done);
     pass(&mut driver, 2, &[0], 300);
-    assert_eq!(driver.told, [(WAVE, false)]);
+    assert_eq!(driver.wave_reports, [(WAVE, false)]);
     // The other one leaves for good.
     pass(&mut driver, 1, &[0], 300);
     answer(&mut driver, vm(1), DutyAnswer::InDoubt);
     pass(&mut driver, 1, &[0], 2_000);
-    assert_eq!(driver.told, [(WAVE, false), (WAVE, true)]);
+    assert_eq!(driver.wave_reports, [(WAVE, false), (WAVE, true)]);
 }
 
 #[test]
@@ -186,7 +186,7 @@
     driver.schedule();
     let started = driver.confirm_starts();
     for start in &started {
-        driver.hold(start.worker, &[(start.task, start.run, 10)]);
+        driver.report_running(start.worker, &[(start.task, start.run, 10)]);
     }
     driver.apply(Event::WavePublished {
         wave: wave(2, 1),
@@ -198,7 +198,7 @@
     assert_eq!(moving.len(), 1);
     let stopped = started.iter().find(|start| start.task == moving[0]);
     let stopped = stopped.cloned().expect("one of the two");
-    driver.end(&stopped, RunEnd::Stopped, &[]);
+    driver.report_end(&stopped, RunEnd::Stopped, &[]);
     pass(&mut driver, 2, &[], 300);
     assert_eq!(ordered(&mut driver).len(), 1);
 }
@@ -220,7 +220,7 @@
             .collect::<Vec<_>>()
     };
     for worker in driver.workers.clone() {
-        driver.hold(worker, &on(worker));
+        driver.report_running(worker, &on(worker));
     }
     driver.apply(Event::WavePublished {
         wave: wave(2, 2),
@@ -245,7 +245,7 @@
         ..worker(0, 4)
     }));
     let again = *driver.workers.last().expect("it was attached");
-    driver.hold(again, &[]);
+    driver.report_running(again, &[]);
     driver.submit(1, policy(0), vec![step(4, 1)]);
     let started = driver.start_all();
     let workers: Vec<_> = started.iter().map(|start| start.worker).collect();
@@ -257,7 +257,7 @@
     let mut driver = Driver::new(2, 4);
     let mut asked = 0;
     for _ in 0..100 {
-        driver.pass(100);
+        driver.advance(100);
         let actions = driver.scheduler.handle(Event::Ticked, driver.now);
         let lists = actions
             .iter()
@@ -282,7 +282,7 @@
     driver.schedule();
     let starts = driver.confirm_starts();
     for start in &starts {
-        driver.hold(start.worker, &[(start.task, start.run, 100)]);
+        driver.report_running(start.worker, &[(start.task, start.run, 100)]);
         driver.apply(Event::Renewing {
             worker: start.worker,
         });
@@ -298,12 +298,12 @@
     driver.apply(Event::WavePublished { wave, age_ms: 0 });
     for _ in 0..50 {
         for start in others {
-            driver.hold(start.worker, &[(start.task, start.run, 100)]);
+            driver.report_running(start.worker, &[(start.task, start.run, 100)]);
         }
         pass(&mut driver, 3, &[], 100);
     }
     assert_eq!(moving_off(&driver), [], "one of three is away already");
-    driver.hold(lost.worker, &[(lost.task, lost.run, 100)]);
+    driver.report_running(lost.worker, &[(lost.task, lost.run, 100)]);
     pass(&mut driver, 3, &[], 100);
     assert_eq!(moving_off(&driver).len(), 1);
 }
@@ -316,14 +316,14 @@
     pass(&mut driver, 2, &[], 4_000);
     assert_eq!(ordered(&mut driver), [vm(0)]);
     // The next list is asked for before the order is carried out, and comes after another was asked for.
-    driver.pass(600);
+    driver.advance(600);
     driver.apply(Event::Ticked);
     let first_asked_at = driver.now;
     assert_eq!(driver.lists_asked.last(), Some(&first_asked_at));
     answer(&mut driver, vm(0), DutyAnswer::Done);
     driver.record();
     for _ in 0..21 {
-        driver.pass(100);
+        driver.advance(100);
         driver.apply(Event::Ticked);
     }
     assert!(driver.lists_asked.last() > Some(&first_asked_at));
@@ -332,7 +332,7 @@
         vms: Some(listed(2, &[])),
     });
     for _ in 0..3 {
-        driver.pass(100);
+        driver.advance(100);
         driver.apply(Event::Ticked);
         driver.record();
     }
@@ -355,10 +355,13 @@
         wave: later,
         age_ms: 0,
     });
-    driver.pass(100);
+    driver.advance(100);
     driver.apply(Event::Ticked);
     driver.record();
-    assert!(!driver.told.contains(&(WAVE + 1, true)));
+    assert!(!driver.wave_reports.contains(&(WAVE + 1, true)));
     pass(&mut driver, 1, &[], 1_000);
-    assert!(driver.told.contains(&(WAVE + 1, true)), "now it is gone");
+    assert!(
+        driver.wave_reports.contains(&(WAVE + 1, true)),
+        "now it is gone"
+    );
 }
--- a/crates/sched/tests/overload/replay.rs
+++ b/crates/sched/tests/overload/replay.rs
@@ -23,7 +23,7 @@
 use syc_sched::Action;
 use syc_sched::AdviceAnswer;
 use syc_sched::Advisers;
-use syc_sched::Allowed;
+use syc_sched::AllowedWorker;
 use syc_sched::CallLength;
 use syc_sched::Event;
 use syc_sched::JobId;
@@ -298,7 +298,7 @@
         for worker in &asked {
             let id = &self.sessions[worker].0;
             if AdviceModel::allows(step, id, kind.allowed_per_mille) {
-                allowed.push(Allowed {
+                allowed.push(AllowedWorker {
                     worker: *worker,
                     ticket: SmolStr::new_static("ticket"),
                 });
@@ -369,7 +369,7 @@
                     }
                     self.send_stop(worker, task, run);
                 }
-                Action::Ask { step, workers, .. } => self.ask(step, workers),
+                Action::RequestAdvice { step, workers, .. } => self.ask(step, workers),
                 Action::Note(Note::JobEnded {
                     job,
                     state: JobState::Completed,
--- a/crates/sched/tests/schedules/world.rs
+++ b/crates/sched/tests/schedules/world.rs
@@ -445,7 +445,7 @@
             })
         });
         let ended: Vec<_> = ended.collect();
-        scheduler.restore_ended(&ended, self.now);
+        scheduler.restore_ended_jobs(&ended, self.now);
         for given in &self.given[..self.next_job] {
             let progress = self.kept.get(&given.spec.id);
             if progress.is_some_and(|progress| progress.state.is_terminal()) {
@@ -575,13 +575,13 @@
                     run,
                     percent,
                 } => self.send_pace(worker, (task, run), percent),
-                Action::Ask { step, workers, .. } => self.advise(step, &workers),
+                Action::RequestAdvice { step, workers, .. } => self.advise(step, &workers),
                 Action::ListVms { asked_at } => {
                     let delay_ms = self.rng.random_range(2..20);
                     self.later(delay_ms, Delivery::Listed(self.token, asked_at));
                 }
                 Action::OrderVm { vm, duty } => self.send_vm_order(vm, duty),
-                Action::TellWave { wave, completed } => self.vms.told(wave, completed),
+                Action::ReportWave { wave, completed } => self.vms.told(wave, completed),
                 Action::DropSpec(_) | Action::Forget(_) | Action::Note(_) => {}
             }
         }
--- a/crates/sched/tests/schedules/world/orders.rs
+++ b/crates/sched/tests/schedules/world/orders.rs
@@ -9,7 +9,7 @@
 use syc_cell::ports::VmCommand;
 use syc_cell::ports::VmOrderError;
 use syc_sched::AdviceAnswer;
-use syc_sched::Allowed;
+use syc_sched::AllowedWorker;
 use syc_sched::Duty;
 use syc_sched::DutyAnswer;
 use syc_sched::Event;
@@ -237,7 +237,7 @@
             let incarnation = life.map_or(0, |life| life.slot + life.rebirths % 2);
             let denied = (step.job.0 + u64::from(step.step)) % WORKERS;
             if incarnation % WORKERS != denied {
-                allowed.push(Allowed {
+                allowed.push(AllowedWorker {
                     worker: *worker,
                     ticket: format_smolstr!("{step}"),
                 });
--- a/crates/sched/tests/schedules/world/sessions.rs
+++ b/crates/sched/tests/schedules/world/sessions.rs
@@ -71,7 +71,7 @@
             return;
         };
         if !id.is_of_life(Some(birth.0)) {
-            self.apply(Event::Reborn { worker: key });
+            self.apply(Event::Restarted { worker: key });
             return;
         }
         if let Some(session) = self.sessions.get_mut(&key) {
--- a/crates/sched/tests/takeovers/main.rs
+++ b/crates/sched/tests/takeovers/main.rs
@@ -10,9 +10,9 @@
 //! not reach each worker, how long the task takes, whether the first answer that tells the successor of an end gets
 //! lost, and what becomes of the first order of each: answered, its answer lost, or carried out 2 or 12 s late.
 
-mod search;
-mod side;
-mod world;
+mod choices;
+mod node;
+mod simulation;
 
 use std::collections::BTreeSet;
 
@@ -21,37 +21,37 @@
 use syc_sched::StepSpec;
 use test_case::test_case;
 
-use crate::search::Choices;
-use crate::world::Leases;
-use crate::world::Rule;
-use crate::world::Rules;
-use crate::world::World;
-use crate::world::cpu;
+use crate::choices::Choices;
+use crate::simulation::LeaseStart;
+use crate::simulation::Rules;
+use crate::simulation::Simulation;
+use crate::simulation::StartRule;
+use crate::simulation::cpu;
 
 /// What a search came to.
 #[derive(Debug, Default)]
-struct Found {
-    plays: u64,
+struct SearchResult {
+    simulations: u64,
     states: usize,
-    broken: u64,
-    not_completed: u64,
-    used_twice: u64,
-    first: Option<Vec<Fault>>,
+    faulty: u64,
+    incomplete: u64,
+    with_duplicate_runs: u64,
+    first_faults: Option<Vec<Fault>>,
 }
 
-fn search(step: &StepSpec, failing_runs: u32, rules: Rules) -> Found {
+fn search(step: &StepSpec, failing_runs: u32, rules: Rules) -> SearchResult {
     let mut choices = Choices::default();
     let mut seen = BTreeSet::new();
-    let mut found = Found::default();
+    let mut found = SearchResult::default();
     loop {
-        let world = World::new(&mut choices, step.clone(), failing_runs, rules);
-        let played = world.play(&mut seen);
-        found.plays += 1;
-        found.broken += u64::from(!played.faults.is_empty());
-        found.not_completed += u64::from(played.state != Some(JobState::Completed));
-        found.used_twice += u64::from(played.numbers_used_twice > 0);
-        if !played.faults.is_empty() {
-            found.first.get_or_insert(played.faults);
+        let simulation = Simulation::new(&mut choices, step.clone(), failing_runs, rules);
+        let outcome = simulation.run(&mut seen);
+        found.simulations += 1;
+        found.faulty += u64::from(!outcome.faults.is_empty());
+        found.incomplete += u64::from(outcome.state != Some(JobState::Completed));
+        found.with_duplicate_runs += u64::from(outcome.duplicate_run_numbers > 0);
+        if !outcome.faults.is_empty() {
+            found.first_faults.get_or_insert(outcome.faults);
         }
         if !choices.advance() {
             break;
@@ -79,53 +79,67 @@
     }
 }
 
-#[test_case(false, 0, Rule::Waits; "a task that is done at once")]
-#[test_case(false, 1, Rule::Waits; "a task that fails once")]
-#[test_case(true, 0, Rule::Waits; "a gang that is done at once")]
-#[test_case(true, 1, Rule::Waits; "a gang that fails once")]
-#[test_case(false, 0, Rule::Proves; "a task that is done at once and proved before")]
-#[test_case(false, 1, Rule::Proves; "a task that fails once and is proved before")]
-#[test_case(true, 0, Rule::Proves; "a gang that is done at once and proved before")]
-#[test_case(true, 1, Rule::Proves; "a gang that fails once and is proved before")]
-fn nothing_runs_twice_whatever_overlaps(gang: bool, failing_runs: u32, rule: Rule) {
+#[test_case(false, 0, StartRule::OnceRead; "a task that is done at once")]
+#[test_case(false, 1, StartRule::OnceRead; "a task that fails once")]
+#[test_case(true, 0, StartRule::OnceRead; "a gang that is done at once")]
+#[test_case(true, 1, StartRule::OnceRead; "a gang that fails once")]
+#[test_case(false, 0, StartRule::OnceConfirmed; "a task that is done at once and proved before")]
+#[test_case(false, 1, StartRule::OnceConfirmed; "a task that fails once and is proved before")]
+#[test_case(true, 0, StartRule::OnceConfirmed; "a gang that is done at once and proved before")]
+#[test_case(true, 1, StartRule::OnceConfirmed; "a gang that fails once and is proved before")]
+fn overlapping_schedulers_run_nothing_twice(gang: bool, failing_runs: u32, start_rule: StartRule) {
     let rules = Rules {
-        rule,
-        leases: Leases::OfOneThatGoesOn,
+        start_rule,
+        lease_start: LeaseStart::NoPause,
     };
     let found = search(&step_of(gang), failing_runs, rules);
     println!("{found:?}");
-    let broken = (found.broken, found.not_completed, found.used_twice);
-    assert_eq!(broken, (0, 0, 0), "of {} plays: {found:?}", found.plays);
+    let counts = (found.faulty, found.incomplete, found.with_duplicate_runs);
+    assert_eq!(
+        counts,
+        (0, 0, 0),
+        "of {} plays: {found:?}",
+        found.simulations
+    );
 }
 
 /// It goes on for a moment with what it knew before: leases that it worked out anew outlasted those that its successor
 /// waited for, and a task ran twice on a worker that the successor did not reach.
-#[test_case(false, 0, Rule::Waits; "a task that is done at once")]
-#[test_case(false, 1, Rule::Waits; "a task that fails once")]
-#[test_case(true, 0, Rule::Waits; "a gang that is done at once")]
-#[test_case(false, 0, Rule::Proves; "a task that is done at once and proved before")]
-#[test_case(false, 1, Rule::Proves; "a task that fails once and is proved before")]
-#[test_case(true, 0, Rule::Proves; "a gang that is done at once and proved before")]
-fn nothing_runs_twice_where_a_predecessor_stands_still(gang: bool, failing_runs: u32, rule: Rule) {
+#[test_case(false, 0, StartRule::OnceRead; "a task that is done at once")]
+#[test_case(false, 1, StartRule::OnceRead; "a task that fails once")]
+#[test_case(true, 0, StartRule::OnceRead; "a gang that is done at once")]
+#[test_case(false, 0, StartRule::OnceConfirmed; "a task that is done at once and proved before")]
+#[test_case(false, 1, StartRule::OnceConfirmed; "a task that fails once and is proved before")]
+#[test_case(true, 0, StartRule::OnceConfirmed; "a gang that is done at once and proved before")]
+fn paused_predecessor_runs_nothing_twice(gang: bool, failing_runs: u32, start_rule: StartRule) {
     let rules = Rules {
-        rule,
-        leases: Leases::FromEvidence,
+        start_rule,
+        lease_start: LeaseStart::FromDecision,
     };
     let found = search(&step_of(gang), failing_runs, rules);
     println!("{found:?}");
-    let broken = (found.broken, found.not_completed, found.used_twice);
-    assert_eq!(broken, (0, 0, 0), "of {} plays: {found:?}", found.plays);
+    let counts = (found.faulty, found.incomplete, found.with_duplicate_runs);
+    assert_eq!(
+        counts,
+        (0, 0, 0),
+        "of {} plays: {found:?}",
+        found.simulations
+    );
 }
 
 /// Leases count from the sending of an order, on purpose.
-#[test_case(false, Rule::Waits; "a task")]
-#[test_case(true, Rule::Proves; "a gang that is proved before")]
-fn the_judge_notices_leases_that_a_predecessor_works_out_anew(gang: bool, rule: Rule) {
+#[test_case(false, StartRule::OnceRead; "a task")]
+#[test_case(true, StartRule::OnceConfirmed; "a gang that is proved before")]
+fn checker_detects_leases_measured_from_sending(gang: bool, start_rule: StartRule) {
     let rules = Rules {
-        rule,
-        leases: Leases::FromSending,
+        start_rule,
+        lease_start: LeaseStart::FromSend,
     };
     let found = search(&step_of(gang), 0, rules);
     println!("{found:?}");
-    assert!(found.broken > 0, "of {} plays: {found:?}", found.plays);
+    assert!(
+        found.faulty > 0,
+        "of {} plays: {found:?}",
+        found.simulations
+    );
 }
--- a/crates/sched/tests/takeovers/side.rs
+++ b/crates/sched/tests/takeovers/node.rs
@@ -24,15 +24,15 @@
 
 /// A scheduler and its sessions.
 #[derive(Debug)]
-pub struct Side {
+pub struct SchedulerNode {
     pub scheduler: Scheduler,
     pub workers: BTreeMap<WorkerKey, WorkerId>,
     /// Workers whose clock was read.
-    pub heard: BTreeSet<WorkerKey>,
-    pub ended: bool,
+    pub contacted: BTreeSet<WorkerKey>,
+    pub has_ended: bool,
     pub has_read_job: bool,
     /// Start orders so far.
-    pub starts: u32,
+    pub start_count: u32,
     /// What shows that there is no successor.
     pub authority: Authority,
     orders: Vec<Order>,
@@ -41,7 +41,7 @@
 /// Two slots, so that a predecessor starts what it learns of in the slot of the takeover and the next one.
 const JOB_AUTHORITY_MS: u64 = 2_500;
 
-impl Side {
+impl SchedulerNode {
     pub fn new() -> Self {
         let options = Options {
             job_authority_ms: JOB_AUTHORITY_MS,
@@ -52,25 +52,25 @@
         Self {
             scheduler,
             workers: BTreeMap::new(),
-            heard: BTreeSet::new(),
-            ended: false,
+            contacted: BTreeSet::new(),
+            has_ended: false,
             has_read_job: false,
-            starts: 0,
+            start_count: 0,
             authority: Authority::new(options.authority_ms),
             orders: Vec::new(),
         }
     }
 
     pub fn apply(&mut self, event: Event, now: Millis) {
-        if self.ended {
+        if self.has_ended {
             return;
         }
         let actions = self.scheduler.handle(event, now);
         self.take(actions);
     }
 
-    pub fn look(&mut self, now: Millis) {
-        if self.ended {
+    pub fn schedule(&mut self, now: Millis) {
+        if self.has_ended {
             return;
         }
         self.apply(Event::Ticked, now);
--- a/crates/sched/tests/takeovers/world.rs
+++ b/crates/sched/tests/takeovers/simulation.rs
@@ -40,9 +40,9 @@
 use syc_types::WorkerId;
 use syc_types::Zone;
 
-use crate::search::Choices;
-use crate::side::Order;
-use crate::side::Side;
+use crate::choices::Choices;
+use crate::node::Order;
+use crate::node::SchedulerNode;
 
 const SERVICE: &str = "intake";
 const JOB: JobId = JobId(1);
@@ -53,120 +53,123 @@
 const SLOT_MS: u64 = 1_000;
 
 /// The slot in which the successor has read what is stored.
-const TAKEOVER: u64 = 3;
+const TAKEOVER_SLOT: u64 = 3;
 
 /// By then every order has arrived, and every lease that was set in doubt has lapsed.
 const SLOTS: u64 = 60;
 
 /// Slots for which a worker can't be reached by the successor: not at all, for less than leases last, and longer.
-const SILENCES: [u64; 3] = [0, 2, 12];
+const UNREACHABLE_SLOTS: [u64; 3] = [0, 2, 12];
 
 /// Slots of the takeover in which the predecessor reads the job, from the one before it on.
-const READS_BEFORE: [u64; 4] = [0, 1, 2, 3];
+const PREDECESSOR_READ_OFFSETS: [u64; 4] = [0, 1, 2, 3];
 
 /// Slots after the takeover in which the successor reads the job; the first is the takeover itself.
-const READS_AFTER: [u64; 4] = [0, 1, 4, 13];
+const SUCCESSOR_READ_DELAYS: [u64; 4] = [0, 1, 4, 13];
 
 /// Slots after the takeover in which the predecessor ends: all that its authority allows.
-const ENDS: [u64; 3] = [1, 2, 3];
+const PREDECESSOR_END_DELAYS: [u64; 3] = [1, 2, 3];
 
 /// Slots for which the predecessor stands still from the takeover on.
-const STILL: [u64; 3] = [0, 5, 8];
+const PAUSE_SLOTS: [u64; 3] = [0, 5, 8];
 
 /// How long tasks take.
 const WORK_MS: [u64; 2] = [500, 4_500];
 
 /// What becomes of an order to start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Fate {
+enum Delivery {
     Answered,
     AnswerLost,
-    Late(u64),
+    Delayed(u64),
 }
 
-const FATES: [Fate; 4] = [
-    Fate::Answered,
-    Fate::AnswerLost,
-    Fate::Late(2),
-    Fate::Late(12),
+const DELIVERIES: [Delivery; 4] = [
+    Delivery::Answered,
+    Delivery::AnswerLost,
+    Delivery::Delayed(2),
+    Delivery::Delayed(12),
 ];
 
 /// What a play came to.
 #[derive(Debug)]
-pub struct Played {
+pub struct SimulationResult {
     pub faults: Vec<Fault>,
     /// Runs of one task and number that began on more than one worker.
-    pub numbers_used_twice: usize,
+    pub duplicate_run_numbers: usize,
     pub state: Option<JobState>,
 }
 
 /// The rules of a play.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Rules {
-    pub rule: Rule,
-    pub leases: Leases,
+    pub start_rule: StartRule,
+    pub lease_start: LeaseStart,
 }
 
 /// By which rule a scheduler starts what was stored lately.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Rule {
+pub enum StartRule {
     /// As soon as it has read it; its successor waits until nothing unknown runs.
-    Waits,
+    OnceRead,
     /// Once the store has taken something that was sent after that; its successor need not wait.
-    Proves,
+    OnceConfirmed,
 }
 
 /// Where the predecessor stands still, and then goes on once before it looks whether it has a successor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum StandsStill {
+enum PausePoint {
     /// Before it renews leases and decides on anything.
     BeforeDecisions,
     /// With its decisions made, and no order sent.
     BeforeOrders,
 }
 
-const STAND_STILLS: [StandsStill; 2] = [StandsStill::BeforeDecisions, StandsStill::BeforeOrders];
+const PAUSE_POINTS: [PausePoint; 2] = [PausePoint::BeforeDecisions, PausePoint::BeforeOrders];
 
 /// From when the leases of a predecessor that stood still count.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Leases {
+pub enum LeaseStart {
     /// It does not stand still.
-    OfOneThatGoesOn,
+    NoPause,
     /// From the decision, and no later than what showed that it has no successor allows.
-    FromEvidence,
+    FromDecision,
     /// From the sending of the order, on purpose: the judge must see it.
-    FromSending,
+    FromSend,
 }
 
 /// The world of one play.
 #[derive(Debug)]
-pub struct World<'a> {
-    rule: Rule,
-    leases: Leases,
+pub struct Simulation<'a> {
+    start_rule: StartRule,
+    lease_start: LeaseStart,
     /// Jobs that were known when the predecessor last sent the store something.
-    sent_with: u64,
+    jobs_sent: u64,
     choices: &'a mut Choices,
     now: Millis,
     spec: JobSpec,
     workers: u64,
     fleet: FleetModel,
-    predecessor: Side,
-    successor: Side,
-    kept: Option<JobProgress>,
+    predecessor: SchedulerNode,
+    successor: SchedulerNode,
+    stored: Option<JobProgress>,
     /// Time from which the successor reaches each worker.
-    silent_until: BTreeMap<WorkerId, Millis>,
+    unreachable_until: BTreeMap<WorkerId, Millis>,
     /// Start orders that arrive late.
-    late: Vec<(Millis, WorkerId, StartCommand)>,
+    delayed_starts: Vec<(Millis, WorkerId, StartCommand)>,
     /// Answers to the scheduler of a token that come in the next slot.
-    doubts: Vec<(u64, Event)>,
+    delayed_answers: Vec<(u64, Event)>,
     /// Whether the successor's first answer that tells of an end has been decided on.
-    has_told_end: bool,
+    first_end_reported: bool,
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     /// Makes a world in which the predecessor knows all workers and no job.
     pub fn new(choices: &'a mut Choices, step: StepSpec, failing_runs: u32, rules: Rules) -> Self {
-        let Rules { rule, leases } = rules;
+        let Rules {
+            start_rule,
+            lease_start,
+        } = rules;
         let workers = u64::from(step.tasks) + 1;
         let spec = JobSpec {
             id: JOB,
@@ -190,51 +193,54 @@
         for index in 0..workers {
             fleet.add(WorkerModel::new(worker(index).id, cpu(1), 0));
         }
-        let mut world = Self {
-            rule,
-            leases,
-            sent_with: 0,
+        let mut simulation = Self {
+            start_rule,
+            lease_start,
+            jobs_sent: 0,
             choices,
             now: Millis(SLOT_MS),
             spec,
             workers,
             fleet,
-            predecessor: Side::new(),
-            successor: Side::new(),
-            kept: None,
-            silent_until: BTreeMap::new(),
-            late: Vec::new(),
-            doubts: Vec::new(),
-            has_told_end: false,
+            predecessor: SchedulerNode::new(),
+            successor: SchedulerNode::new(),
+            stored: None,
+            unreachable_until: BTreeMap::new(),
+            delayed_starts: Vec::new(),
+            delayed_answers: Vec::new(),
+            first_end_reported: false,
         };
         for index in 0..workers {
             let listed = Event::WorkerListed(worker(index));
-            world.predecessor.apply(listed, world.now);
+            simulation.predecessor.apply(listed, simulation.now);
         }
-        world.predecessor.scheduler.begin_recovery(world.now);
-        if rule == Rule::Proves {
-            world.predecessor.scheduler.require_proof();
-            world.successor.scheduler.require_proof();
-            let successor = &mut world.successor.scheduler;
+        simulation
+            .predecessor
+            .scheduler
+            .begin_recovery(simulation.now);
+        if start_rule == StartRule::OnceConfirmed {
+            simulation.predecessor.scheduler.require_proof();
+            simulation.successor.scheduler.require_proof();
+            let successor = &mut simulation.successor.scheduler;
             successor.set_predecessors_prove(true);
         }
-        world
+        simulation
     }
 
     /// Plays it to the end. Takes note of each state in `seen`.
-    pub fn play(mut self, seen: &mut BTreeSet<u64>) -> Played {
-        let read_before = self.choices.pick(&READS_BEFORE) + TAKEOVER - 1;
+    pub fn run(mut self, seen: &mut BTreeSet<u64>) -> SimulationResult {
+        let read_before = self.choices.pick(&PREDECESSOR_READ_OFFSETS) + TAKEOVER_SLOT - 1;
         // What its predecessor has read by then is there when the successor reads all that is stored.
-        let is_stored = read_before < TAKEOVER;
+        let is_stored = read_before < TAKEOVER_SLOT;
         let read_after = if is_stored {
-            TAKEOVER
+            TAKEOVER_SLOT
         } else {
-            TAKEOVER + self.choices.pick(&READS_AFTER)
+            TAKEOVER_SLOT + self.choices.pick(&SUCCESSOR_READ_DELAYS)
         };
-        let still = self.pick_still();
-        let ends_in = match still {
-            Some((slots, _)) => TAKEOVER + slots + 1,
-            None => TAKEOVER + self.choices.pick(&ENDS),
+        let pause = self.pick_pause();
+        let ends_in = match pause {
+            Some((slots, _)) => TAKEOVER_SLOT + slots + 1,
+            None => TAKEOVER_SLOT + self.choices.pick(&PREDECESSOR_END_DELAYS),
         };
         for slot in 1..SLOTS {
             self.now = Millis(slot * SLOT_MS);
@@ -244,20 +250,20 @@
                 self.read_job(1);
             }
             if slot == ends_in {
-                self.predecessor.ended = true;
+                self.predecessor.has_ended = true;
             }
-            self.take_proof(slot);
-            match still {
-                Some((slots, at)) => self.act_still(slot, TAKEOVER + slots, at),
+            self.confirm_sent_jobs(slot);
+            match pause {
+                Some((slots, at)) => self.act_with_pause(slot, TAKEOVER_SLOT + slots, at),
                 None => self.act(1),
             }
-            if slot < TAKEOVER {
+            if slot < TAKEOVER_SLOT {
                 self.record(1);
             }
-            if slot == TAKEOVER {
-                self.take_over(read_after == TAKEOVER);
+            if slot == TAKEOVER_SLOT {
+                self.take_over(read_after == TAKEOVER_SLOT);
             }
-            if slot >= TAKEOVER {
+            if slot >= TAKEOVER_SLOT {
                 self.successor.authority.note_taken(self.now);
                 // All that was stored before the job may have been read by then, but no more.
                 let read_at = Millis(slot.min(read_before) * SLOT_MS);
@@ -270,73 +276,73 @@
                 }
                 self.act(2);
                 self.record(2);
-                if self.rule == Rule::Proves {
+                if self.start_rule == StartRule::OnceConfirmed {
                     let scheduler = &mut self.successor.scheduler;
                     scheduler.set_proof(scheduler.jobs_added(), self.now);
                 }
             }
             seen.insert(self.digest());
-            if slot > TAKEOVER + 20 && self.is_over() {
+            if slot > TAKEOVER_SLOT + 20 && self.is_finished() {
                 break;
             }
         }
-        Played {
+        SimulationResult {
             faults: self.fleet.judge.faults().to_vec(),
-            numbers_used_twice: numbers_used_twice(&self.fleet.judge.take_events()),
+            duplicate_run_numbers: duplicate_run_numbers(&self.fleet.judge.take_events()),
             state: self.successor.scheduler.state_of(JOB),
         }
     }
 
     /// Decides for how long the predecessor stands still, and where; none where it goes on.
-    fn pick_still(&mut self) -> Option<(u64, StandsStill)> {
-        if self.leases == Leases::OfOneThatGoesOn {
+    fn pick_pause(&mut self) -> Option<(u64, PausePoint)> {
+        if self.lease_start == LeaseStart::NoPause {
             return None;
         }
-        let slots = self.choices.pick(&STILL);
-        let at = self.choices.pick(&STAND_STILLS);
+        let slots = self.choices.pick(&PAUSE_SLOTS);
+        let at = self.choices.pick(&PAUSE_POINTS);
         Some((slots, at))
     }
 
     /// Lets the predecessor act that stands still from the takeover until a slot.
-    fn act_still(&mut self, slot: u64, until: u64, at: StandsStill) {
-        if slot < TAKEOVER || slot == until {
+    fn act_with_pause(&mut self, slot: u64, until: u64, at: PausePoint) {
+        if slot < TAKEOVER_SLOT || slot == until {
             self.act(1);
-        } else if slot == TAKEOVER && at == StandsStill::BeforeOrders {
+        } else if slot == TAKEOVER_SLOT && at == PausePoint::BeforeOrders {
             self.decide(1);
         }
     }
 
     /// Lets the predecessor hear that the store took what it sent a slot before, and send it something again.
-    fn take_proof(&mut self, slot: u64) {
-        let is_taken = slot <= TAKEOVER;
+    fn confirm_sent_jobs(&mut self, slot: u64) {
+        let is_taken = slot <= TAKEOVER_SLOT;
         if is_taken {
             // What was sent at the last moment: a successor refuses it from then on.
             self.predecessor.authority.note_taken(self.now);
         }
-        if self.rule == Rule::Waits {
+        if self.start_rule == StartRule::OnceRead {
             return;
         }
         if is_taken {
             let scheduler = &mut self.predecessor.scheduler;
             let sent_at = Millis(self.now.0 - SLOT_MS);
-            scheduler.set_proof(self.sent_with, sent_at);
+            scheduler.set_proof(self.jobs_sent, sent_at);
         }
-        self.sent_with = self.predecessor.scheduler.jobs_added();
+        self.jobs_sent = self.predecessor.scheduler.jobs_added();
     }
 
-    fn is_over(&self) -> bool {
+    fn is_finished(&self) -> bool {
         let state = self.successor.scheduler.state_of(JOB);
-        state.is_some_and(JobState::is_terminal) && self.late.is_empty()
+        state.is_some_and(JobState::is_terminal) && self.delayed_starts.is_empty()
     }
 
     /// Returns a number for what is running, under way and known.
     fn digest(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         let known = (
-            &self.kept,
-            &self.late,
-            &self.doubts,
-            self.predecessor.ended,
+            &self.stored,
+            &self.delayed_starts,
+            &self.delayed_answers,
+            self.predecessor.has_ended,
             self.predecessor.has_read_job,
             self.successor.has_read_job,
             self.successor.scheduler.is_recovered(),
@@ -346,7 +352,7 @@
     }
 
     /// Returns the scheduler with a token: 1 is the predecessor, 2 its successor.
-    fn side(&mut self, token: u64) -> &mut Side {
+    fn node(&mut self, token: u64) -> &mut SchedulerNode {
         if token == 1 {
             &mut self.predecessor
         } else {
@@ -360,22 +366,22 @@
             age_ms: 0,
         };
         let now = self.now;
-        let side = self.side(token);
-        side.apply(stored, now);
-        side.has_read_job = true;
+        let node = self.node(token);
+        node.apply(stored, now);
+        node.has_read_job = true;
     }
 
     fn take_over(&mut self, reads_job: bool) {
         let now = self.now;
         if reads_job {
             let scheduler = &mut self.successor.scheduler;
-            scheduler.restore_job(self.spec.clone(), self.kept.as_ref(), 0, now);
+            scheduler.restore_job(self.spec.clone(), self.stored.as_ref(), 0, now);
             self.successor.has_read_job = true;
         }
         for index in 0..self.workers {
-            let silence = self.choices.pick(&SILENCES);
-            let until = now.plus(silence * SLOT_MS);
-            self.silent_until.insert(worker(index).id, until);
+            let slots = self.choices.pick(&UNREACHABLE_SLOTS);
+            let until = now.plus(slots * SLOT_MS);
+            self.unreachable_until.insert(worker(index).id, until);
             self.successor
                 .apply(Event::WorkerListed(worker(index)), now);
         }
@@ -385,44 +391,44 @@
     /// Lets a scheduler renew the leases, hear what is reported and look at what waits.
     fn act(&mut self, token: u64) {
         self.decide(token);
-        self.carry_out(token);
+        self.send_orders(token);
     }
 
     /// Does all that but the sending of the orders.
     fn decide(&mut self, token: u64) {
         let now = self.now;
-        let (due, rest) = std::mem::take(&mut self.doubts)
+        let (due, rest) = std::mem::take(&mut self.delayed_answers)
             .into_iter()
             .partition(|(of, _)| *of == token);
-        self.doubts = rest;
+        self.delayed_answers = rest;
         for (_, event) in due {
-            self.side(token).apply(event, now);
+            self.node(token).apply(event, now);
         }
-        for (key, id) in self.side(token).workers.clone() {
+        for (key, id) in self.node(token).workers.clone() {
             self.renew(token, key, &id);
         }
         let asked_at = now;
-        self.side(token).apply(Event::WorkersRead { asked_at }, now);
-        self.side(token).look(now);
+        self.node(token).apply(Event::WorkersRead { asked_at }, now);
+        self.node(token).schedule(now);
     }
 
-    fn is_reached(&self, token: u64, id: &WorkerId) -> bool {
-        let until = self.silent_until.get(id).filter(|_| token == 2);
+    fn is_reachable(&self, token: u64, id: &WorkerId) -> bool {
+        let until = self.unreachable_until.get(id).filter(|_| token == 2);
         until.is_none_or(|until| *until <= self.now)
     }
 
     fn renew(&mut self, token: u64, worker: WorkerKey, id: &WorkerId) {
         let now = self.now;
-        if self.side(token).ended {
+        if self.node(token).has_ended {
             return;
         }
-        let knows_clock = self.side(token).heard.contains(&worker);
-        let (acknowledged, _) = self.side(token).scheduler.acknowledged_ends(worker);
+        let knows_clock = self.node(token).contacted.contains(&worker);
+        let (acknowledged, _) = self.node(token).scheduler.acknowledged_ends(worker);
         if knows_clock {
-            self.side(token).apply(Event::Renewing { worker }, now);
+            self.node(token).apply(Event::Renewing { worker }, now);
         }
-        if !self.is_reached(token, id) {
-            self.side(token).apply(Event::RenewalFailed { worker }, now);
+        if !self.is_reachable(token, id) {
+            self.node(token).apply(Event::RenewalFailed { worker }, now);
             return;
         }
         let lease_until_ms = self.lease_until_ms(token, now).filter(|_| knows_clock);
@@ -435,39 +441,39 @@
         let renewed = self.fleet.renew(id, &renewal, now);
         if renewed
             .as_ref()
-            .is_ok_and(|renewed| self.is_lost(token, renewed))
+            .is_ok_and(|renewed| self.loses_answer(token, renewed))
         {
-            self.side(token).apply(Event::RenewalFailed { worker }, now);
+            self.node(token).apply(Event::RenewalFailed { worker }, now);
             return;
         }
-        let side = self.side(token);
+        let node = self.node(token);
         match renewed {
             Ok(renewed) => {
-                side.heard.insert(worker);
+                node.contacted.insert(worker);
                 let report = renewed.report;
                 let event = Event::Renewed {
                     worker,
                     sent_at: now,
                     report,
                 };
-                side.apply(event, now);
+                node.apply(event, now);
             }
-            Err(_fenced) => side.ended = true,
+            Err(_fenced) => node.has_ended = true,
         }
     }
 
     /// Says whether an answer of a worker gets lost: it may be the first in which the successor would hear of an end.
-    fn is_lost(&mut self, token: u64, renewed: &Renewed) -> bool {
-        if token == 1 || self.has_told_end || renewed.report.ended.is_empty() {
+    fn loses_answer(&mut self, token: u64, renewed: &Renewed) -> bool {
+        if token == 1 || self.first_end_reported || renewed.report.ended.is_empty() {
             return false;
         }
-        self.has_told_end = true;
+        self.first_end_reported = true;
         self.choices.pick(&[false, true])
     }
 
-    fn carry_out(&mut self, token: u64) {
+    fn send_orders(&mut self, token: u64) {
         loop {
-            let orders = self.side(token).take_orders();
+            let orders = self.node(token).take_orders();
             if orders.is_empty() {
                 return;
             }
@@ -482,16 +488,16 @@
 
     fn start(&mut self, token: u64, order: &StartOrder) {
         let now = self.now;
-        let Some(id) = self.side(token).workers.get(&order.worker).cloned() else {
+        let Some(id) = self.node(token).workers.get(&order.worker).cloned() else {
             return;
         };
-        self.side(token).starts += 1;
+        self.node(token).start_count += 1;
         // Later ones arrive at once: the first is what can overlap.
-        let is_first = self.side(token).starts == 1;
-        let fate = if is_first {
-            self.choices.pick(&FATES)
+        let is_first = self.node(token).start_count == 1;
+        let delivery = if is_first {
+            self.choices.pick(&DELIVERIES)
         } else {
-            Fate::Answered
+            Delivery::Answered
         };
         let Some(lease_until_ms) = self.lease_until_ms(token, order.decided_at) else {
             self.withhold(token, order);
@@ -513,34 +519,34 @@
             answer,
         };
         let in_doubt = (token, answered(StartAnswer::InDoubt));
-        if let Fate::Late(slots) = fate {
+        if let Delivery::Delayed(slots) = delivery {
             let at = now.plus(slots * SLOT_MS);
-            self.late.push((at, id, command));
-            self.doubts.push(in_doubt);
+            self.delayed_starts.push((at, id, command));
+            self.delayed_answers.push(in_doubt);
             return;
         }
         let answer = match self.fleet.start(&id, &command, now) {
-            _ if fate == Fate::AnswerLost => {
-                self.doubts.push(in_doubt);
+            _ if delivery == Delivery::AnswerLost => {
+                self.delayed_answers.push(in_doubt);
                 return;
             }
             Ok(()) => StartAnswer::Started,
             Err(OrderError::Refused(refusal)) => StartAnswer::Refused(refusal),
             Err(_fenced) => {
-                self.side(token).ended = true;
+                self.node(token).has_ended = true;
                 return;
             }
         };
-        self.side(token).apply(answered(answer), now);
+        self.node(token).apply(answered(answer), now);
     }
 
     /// Returns when a lease ends that was decided on at a time; none where its scheduler may have a successor.
     fn lease_until_ms(&mut self, token: u64, decided_at: Millis) -> Option<u64> {
         let now = self.now;
-        let from = match self.leases {
-            Leases::FromSending => Some(now),
-            Leases::OfOneThatGoesOn | Leases::FromEvidence => {
-                self.side(token).authority.lease_from(decided_at, now)
+        let from = match self.lease_start {
+            LeaseStart::FromSend => Some(now),
+            LeaseStart::NoPause | LeaseStart::FromDecision => {
+                self.node(token).authority.lease_from(decided_at, now)
             }
         };
         from.map(|from| from.0 + LEASE_MS)
@@ -555,16 +561,16 @@
             answer: StartAnswer::NotSent,
         };
         let now = self.now;
-        self.side(token).apply(event, now);
+        self.node(token).apply(event, now);
     }
 
     fn stop(&mut self, token: u64, worker: WorkerKey, task: TaskId, run: Run) {
         let now = self.now;
-        let Some(id) = self.side(token).workers.get(&worker).cloned() else {
+        let Some(id) = self.node(token).workers.get(&worker).cloned() else {
             return;
         };
         let command = StopCommand { task, run, token };
-        let is_reached = self.is_reached(token, &id);
+        let is_reached = self.is_reachable(token, &id);
         let was_taken = is_reached && self.fleet.stop(&id, &command, now).is_ok();
         let event = Event::StopAnswered {
             worker,
@@ -572,15 +578,15 @@
             run,
             taken: was_taken,
         };
-        self.side(token).apply(event, now);
+        self.node(token).apply(event, now);
     }
 
     fn deliver(&mut self) {
         let now = self.now;
-        let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.late)
+        let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.delayed_starts)
             .into_iter()
             .partition(|(at, _, _)| *at <= now);
-        self.late = rest;
+        self.delayed_starts = rest;
         for (_, id, command) in due {
             // Whoever sent it has given it up: its answer goes nowhere.
             let _unheard = self.fleet.start(&id, &command, now);
@@ -590,24 +596,24 @@
     /// Lets the store take what a scheduler has of the job.
     fn record(&mut self, token: u64) {
         let now = self.now;
-        if self.side(token).ended {
+        if self.node(token).has_ended {
             return;
         }
         let records = self
-            .side(token)
+            .node(token)
             .scheduler
             .take_records(usize::MAX, now, TimeOfDay(1));
         let mut jobs = Vec::new();
         for (id, change, progress) in records {
-            self.kept = Some(progress);
+            self.stored = Some(progress);
             jobs.push((id, change));
         }
-        self.side(token).apply(Event::Recorded { jobs }, now);
-        self.carry_out(token);
+        self.node(token).apply(Event::Recorded { jobs }, now);
+        self.send_orders(token);
     }
 }
 
-fn numbers_used_twice(events: &[RunEvent]) -> usize {
+fn duplicate_run_numbers(events: &[RunEvent]) -> usize {
     let mut workers: BTreeMap<(TaskId, Run), BTreeSet<&WorkerId>> = BTreeMap::new();
     for event in events {
         if let RunEvent::Started { worker, task, run } = event {
