--- a/crates/sched/src/advice.rs
+++ b/crates/sched/src/advice.rs
@@ -11,7 +11,7 @@
 use crate::StepId;
 use crate::TaskId;
 use crate::WorkerKey;
-use crate::gang::CHOICE;
+use crate::gang::CANDIDATE_CAPACITY_FACTOR;
 use crate::ids::JobKey;
 use crate::job::Ticket;
 use crate::scheduler::QueueStats;
@@ -99,9 +99,9 @@
         };
         let job_state = &self.jobs[job];
         let step_state = &job_state.steps[step];
-        let required = step_state.spec.room();
-        let wanted = step_state.pending;
-        let first = step_state.advice.calls == 0;
+        let required = step_state.spec.reserved_resources();
+        let wanted = step_state.pending_units;
+        let first = step_state.advice.call_count == 0;
         let mut known = Vec::new();
         let mut unknown = Vec::new();
         for key in self.eligible_workers(step_state.spec.required_label.as_ref(), job_state, now) {
@@ -144,7 +144,11 @@
                 continue;
             }
             let limit = step_state.spec.tasks;
-            let fitting = fit_count(&self.workers[key].available(), &step_state.spec.room(), limit);
+            let fitting = fit_count(
+                &self.workers[key].available(),
+                &step_state.spec.reserved_resources(),
+                limit,
+            );
             unknown.push((fitting, key));
         }
         let count = self.estimate_call_size(job, step, &unknown);
@@ -160,17 +164,22 @@
     fn gang_call_size(&self, job: JobKey, step: usize) -> usize {
         let job_state = &self.jobs[job];
         let spec = &job_state.steps[step].spec;
-        let limit = spec.limit_on_a_worker();
+        let limit = spec.max_tasks_per_worker();
         let mut workers: u32 = 0;
         let mut total_fitting: u32 = 0;
         for worker in self.workers.values() {
             workers += 1;
             total_fitting =
-                total_fitting.saturating_add(fit_count(&worker.spec.capacity, &spec.room(), limit));
+                total_fitting.saturating_add(fit_count(
+                &worker.spec.capacity,
+                &spec.reserved_resources(),
+                limit,
+            ));
         }
         let each = f64::from(total_fitting) / f64::from(workers.max(1));
         let share = self.allowed_share(&job_state.spec.policy.queue);
-        let wanted = f64::from(spec.tasks) * f64::from(CHOICE) / each.max(0.5) / share;
+        let wanted =
+            f64::from(spec.tasks) * f64::from(CANDIDATE_CAPACITY_FACTOR) / each.max(0.5) / share;
         worker_count(wanted)
     }
 
@@ -213,7 +222,7 @@
     fn estimate_call_size(&self, job: JobKey, step: usize, unknown: &[(u32, WorkerKey)]) -> usize {
         let job = &self.jobs[job];
         let step_state = &job.steps[step];
-        let tasks = step_state.pending.saturating_mul(step_state.members());
+        let tasks = step_state.pending_units.saturating_mul(step_state.members());
         let fitting: u32 = unknown.iter().map(|(fitting, _)| *fitting).sum();
         let workers = u32::try_from(unknown.len()).unwrap_or(u32::MAX).max(1);
         let per_worker = (f64::from(fitting) / f64::from(workers)).max(0.5);
@@ -249,9 +258,9 @@
             }
             let advice = &mut self.jobs[job].steps[step].advice;
             advice.asked_at = Some(now);
-            advice.under_way += 1;
-            advice.calls += 1;
-            self.actions.push(Action::Ask {
+            advice.pending_calls += 1;
+            advice.call_count += 1;
+            self.actions.push(Action::RequestAdvice {
                 step: id,
                 expected_ms,
                 workers: part.to_vec(),
@@ -287,13 +296,13 @@
         };
         let job = &mut self.jobs[key];
         let queue = job.spec.policy.queue.clone();
-        let Some(index) = job.index_of(step) else {
+        let Some(index) = job.step_index(step) else {
             return;
         };
         let step_state = &mut job.steps[index];
         let advice = &mut step_state.advice;
-        advice.under_way = advice.under_way.saturating_sub(1);
-        if advice.under_way == 0 {
+        advice.pending_calls = advice.pending_calls.saturating_sub(1);
+        if advice.pending_calls == 0 {
             advice.asked_at = None;
         }
         let AdviceAnswer::Given {
@@ -346,7 +355,7 @@
                 let asked_at = step.advice.asked_at;
                 if asked_at.is_some_and(|at| now.since(at) > bound_ms) {
                     step.advice.asked_at = None;
-                    step.advice.under_way = 0;
+                    step.advice.pending_calls = 0;
                 }
             }
         }
--- a/crates/sched/src/circuit_breaker.rs
+++ b/crates/sched/src/circuit_breaker.rs
@@ -16,7 +16,7 @@
 use crate::TaskId;
 use crate::WorkerKey;
 use crate::jitter::jitter_seed;
-use crate::reports::belief;
+use crate::reports::status_note;
 use crate::worker::Phase;
 use crate::worker::WorkerRun;
 
@@ -148,7 +148,7 @@
         contact.half_open = false;
         if contact.tripped {
             contact.tripped = false;
-            let note = belief(worker, "takes_orders", now);
+            let note = status_note(worker, "takes_orders", now);
             self.actions.push(note);
         }
     }
@@ -178,7 +178,7 @@
         contact.tripped = true;
         contact.start_window = INITIAL_START_WINDOW;
         contact.probe_attempts = 0;
-        let note = belief(worker, "takes_no_orders", now);
+        let note = status_note(worker, "takes_no_orders", now);
         self.actions.push(note);
         self.schedule_next_probe(key, task_run, now);
     }
@@ -271,7 +271,7 @@
         } else {
             "lease_renewed"
         };
-        let note = belief(worker, event, now);
+        let note = status_note(worker, event, now);
         self.actions.push(note);
     }
 }
--- a/crates/sched/src/crash_history.rs
+++ b/crates/sched/src/crash_history.rs
@@ -62,20 +62,20 @@
     /// Counts a crash under it.
     pub(crate) fn add(&mut self, crash: &Crash) {
         self.count.workers += 1;
-        self.count.alone += u32::from(crash.sole_suspect);
-        self.count.late |= crash.late;
+        self.count.sole_suspect += u32::from(crash.sole_suspect);
+        self.count.after_startup |= crash.late;
         self.longest_confirmed_ms = self.longest_confirmed_ms.max(crash.confirmed_ms);
     }
 
     const fn exceeds_limit(self) -> bool {
         let CrashCount {
             workers,
-            alone,
-            late,
+            sole_suspect,
+            after_startup,
             ..
         } = self.count;
-        let is_certain = workers >= GIVE_UP_AFTER_CRASHES && alone >= GIVE_UP_AFTER_SOLE_CRASHES;
-        workers >= CRASHES_LIMIT || is_certain && !late
+        let is_certain = workers >= GIVE_UP_AFTER_CRASHES && sole_suspect >= GIVE_UP_AFTER_SOLE_CRASHES;
+        workers >= CRASHES_LIMIT || is_certain && !after_startup
     }
 
     /// Returns the time after which a run of the task is no longer expected to take its worker down.
--- a/crates/sched/src/headroom.rs
+++ b/crates/sched/src/headroom.rs
@@ -86,7 +86,10 @@
         if job.spec.policy.priority == URGENT_PRIORITY || spec.fills {
             return false;
         }
-        let left = self.headroom.free.saturating_sub(spec.room().cpu_millis);
+        let left = self
+            .headroom
+            .free
+            .saturating_sub(spec.reserved_resources().cpu_millis);
         left < self.headroom.target()
     }
 }
--- a/crates/sched/src/maintenance.rs
+++ b/crates/sched/src/maintenance.rs
@@ -170,7 +170,7 @@
         }
         if maintenance.completed.contains(&number) {
             // A predecessor may have ended before it told so.
-            self.actions.push(Action::TellWave {
+            self.actions.push(Action::ReportWave {
                 wave: number,
                 completed: true,
             });
@@ -188,7 +188,7 @@
         maintenance
             .active
             .insert(number, ActiveWave::new(wave, stored.as_ref(), age_ms, now));
-        self.actions.push(Action::TellWave {
+        self.actions.push(Action::ReportWave {
             wave: number,
             completed: false,
         });
@@ -215,7 +215,7 @@
         }
         self.maintenance.active.remove(&number);
         self.maintenance.completed.insert(number);
-        self.actions.push(Action::TellWave {
+        self.actions.push(Action::ReportWave {
             wave: number,
             completed: true,
         });
@@ -223,7 +223,7 @@
 
     /// Brings the waves forward.
     pub(crate) fn advance_waves(&mut self, now: Millis) {
-        if self.maintenance.active.is_empty() || !self.recovery.is_settled() {
+        if self.maintenance.active.is_empty() || !self.recovery.is_complete() {
             return;
         }
         self.request_vm_list(now);
--- a/crates/sched/src/placement.rs
+++ b/crates/sched/src/placement.rs
@@ -15,7 +15,7 @@
 use crate::job::Reservation;
 use crate::job::Unit;
 use crate::job::UnitState;
-use crate::units::Place;
+use crate::units::UnitRef;
 use crate::worker::Phase;
 use crate::worker::Worker;
 use crate::worker::WorkerRun;
@@ -29,11 +29,11 @@
         self.measure_headroom(now);
         for (_urgency, job, step) in self.waiting_steps(now) {
             if self.jobs[job].steps[step].spec.gang {
-                self.serve_gang(job, step, now);
+                self.schedule_gang(job, step, now);
             } else {
                 self.place_tasks(job, step, now);
             }
-            self.tell_waiting(job, step, now);
+            self.log_waiting(job, step, now);
         }
         std::mem::take(&mut self.actions)
     }
@@ -56,7 +56,7 @@
             }
             let fitting = self.fitting_workers(job, step, unit, &allowed, now);
             if self.jobs[job].steps[step].units[unit].crashes() > 0 && !fitting.is_empty() {
-                self.place_suspect(Place { job, step, unit }, &fitting, now);
+                self.place_suspect(UnitRef { job, step, unit }, &fitting, now);
                 continue;
             }
             if let Some(worker) = self.pick_worker(job, step, &fitting, now) {
@@ -74,11 +74,14 @@
                 continue;
             }
             // What does not fit for one does not fit for the next, unless this one is choosy.
-            if self.jobs[job].steps[step].units[unit].avoid.is_empty() {
+            if self.jobs[job].steps[step].units[unit]
+                .avoided_workers
+                .is_empty()
+            {
                 break;
             }
         }
-        if self.jobs[job].steps[step].pending > 0 {
+        if self.jobs[job].steps[step].pending_units > 0 {
             self.request_task_advice(job, step, now);
         }
     }
@@ -115,7 +118,7 @@
             candidates.retain(|key| !self.awaits_maintenance(*key));
         }
         candidates.retain(may_take_start);
-        let need = spec.room();
+        let need = spec.reserved_resources();
         let is_latency_bound = spec.tail_limit_ms.is_some();
         candidates.into_iter().min_by_key(|key| {
             let worker = &self.workers[*key];
@@ -141,7 +144,7 @@
         allowed: &[WorkerKey],
         now: Millis,
     ) -> Vec<WorkerKey> {
-        let need = self.jobs[job].steps[step].spec.room();
+        let need = self.jobs[job].steps[step].spec.reserved_resources();
         let avoid = self.avoided_workers(job, step, unit, now);
         let is_suspected = self.jobs[job].steps[step].units[unit].crashes() > 0;
         let mut fitting = Vec::new();
@@ -174,7 +177,7 @@
         if waited_ms > self.options.avoid_failed_workers_ms {
             return &[];
         }
-        &of_step.units[unit].avoid
+        &of_step.units[unit].avoided_workers
     }
 
     /// Says whether a worker may run another task of a step: what runs there and what room is kept
@@ -212,7 +215,7 @@
     ) -> bool {
         let of_job = &self.jobs[job];
         let priority = of_job.spec.policy.priority;
-        let need = of_job.steps[step].spec.room();
+        let need = of_job.steps[step].spec.reserved_resources();
         let avoid = self.avoided_workers(job, step, unit, now);
         let mut best: Option<(WorkerKey, Victims)> = None;
         for key in allowed {
@@ -251,7 +254,7 @@
         now: Millis,
     ) {
         let of_step = &self.jobs[job].steps[step];
-        let need = of_step.spec.room();
+        let need = of_step.spec.reserved_resources();
         let isolated = of_step.units[unit].is_isolated();
         let suspected = of_step.units[unit].crashes() > 0;
         for (worker, count) in &workers {
@@ -272,14 +275,14 @@
 
     /// Gives up the room that is kept for a unit.
     pub(crate) fn release_reservation(&mut self, job: JobKey, step: usize, unit: usize) {
-        self.retract_announcement(Place { job, step, unit });
+        self.retract_announcement(UnitRef { job, step, unit });
         self.drop_reservation(job, step, unit);
     }
 
     /// Frees the room that is kept for a unit.
     pub(crate) fn drop_reservation(&mut self, job: JobKey, step: usize, unit: usize) {
         let of_step = &mut self.jobs[job].steps[step];
-        let need = of_step.spec.room();
+        let need = of_step.spec.reserved_resources();
         let Some(reservation) = of_step.units[unit].reservation.take() else {
             return;
         };
@@ -320,7 +323,7 @@
         now: Millis,
     ) {
         let of_step = &self.jobs[job].steps[step];
-        let need = of_step.spec.room();
+        let need = of_step.spec.reserved_resources();
         let Some(reservation) = &of_step.units[unit].reservation else {
             return;
         };
@@ -335,7 +338,7 @@
         if fits && self.is_below_task_limit(worker, job, step, unit) {
             if !self.has_ticket(job, step, worker, now) {
                 self.renew_tickets(job, step, &[worker], now);
-            } else if self.ensure_announced(Place { job, step, unit }) {
+            } else if self.ensure_announced(UnitRef { job, step, unit }) {
                 self.drop_reservation(job, step, unit);
                 self.start_unit(job, step, unit, &[worker], now);
                 return;
@@ -372,13 +375,13 @@
         workers: &[WorkerKey],
         now: Millis,
     ) {
-        let place = Place {
+        let place = UnitRef {
             job: job_key,
             step: step_index,
             unit: unit_index,
         };
         if self.unit_mut(place).exceeds_crash_limit() {
-            self.fail_if_spent(place, now);
+            self.fail_if_exhausted(place, now);
             return;
         }
         let id = self.step_id(job_key, step_index);
@@ -393,16 +396,16 @@
         let job = &mut self.jobs[job_key];
         let step = &mut job.steps[step_index];
         let unit = &mut step.units[unit_index];
-        let run = match unit.announced.take() {
-            Some(_) => unit.started,
-            None => unit.started.max(unit.accounted).next(),
+        let run = match unit.start_intent.take() {
+            Some(_) => unit.last_started,
+            None => unit.last_started.max(unit.last_accounted).next(),
         };
-        unit.started = run;
+        unit.last_started = run;
         unit.state = UnitState::Placed {
             run,
             members: workers.iter().copied().map(Some).collect(),
         };
-        step.pending -= 1;
+        step.pending_units -= 1;
         for (member, worker) in workers.iter().enumerate() {
             let task = self.jobs[job_key].steps[step_index].task_at(id, unit_index, member);
             self.start_member(job_key, step_index, *worker, task, run, now);
@@ -430,7 +433,7 @@
         let held = WorkerRun {
             probation: Probation::of(history),
             ticket: ticket.clone(),
-            resumed: of_step.resumes(task.index),
+            resumed: of_step.resumes_from_checkpoint(task.index),
             ..WorkerRun::starting(&of_step.spec, of_job.spec.policy.priority, now)
         };
         self.headroom.consume(held.resources.cpu_millis);
--- a/crates/sched/src/slowness.rs
+++ b/crates/sched/src/slowness.rs
@@ -16,7 +16,7 @@
 use crate::WorkerKey;
 use crate::WorkerNote;
 use crate::job::Step;
-use crate::units::Place;
+use crate::units::UnitRef;
 use crate::worker::Phase;
 use crate::worker::WorkerRun;
 use crate::worker::fit_count;
@@ -66,7 +66,7 @@
 struct RunProjection {
     task: TaskId,
     run: Run,
-    place: Place,
+    place: UnitRef,
     total_ms: u64,
     /// What is left of it, and what of it would be elsewhere, in hundredths.
     left_percent: u64,
@@ -99,7 +99,7 @@
     fn median_ms(&self, except: &[usize]) -> Option<u64> {
         let units = self.units.iter().enumerate();
         let elsewhere = units.filter(|(index, _)| !except.contains(index));
-        let projected = elsewhere.filter_map(|(_, unit)| unit.whole_ms);
+        let projected = elsewhere.filter_map(|(_, unit)| unit.expected_run_ms);
         let mut others: Vec<_> = projected.take(PEERS_LIMIT).collect();
         if others.len() < MIN_PEERS {
             return None;
@@ -168,14 +168,14 @@
             projections.push(RunProjection {
                 task: *task,
                 run: *run,
-                place: Place { job, step, unit },
+                place: UnitRef { job, step, unit },
                 total_ms,
                 left_percent,
                 elsewhere_percent: if held.checkpointed { left_percent } else { 100 },
             });
         }
         for projection in &projections {
-            self.unit_mut(projection.place).whole_ms = Some(projection.total_ms);
+            self.unit_mut(projection.place).expected_run_ms = Some(projection.total_ms);
         }
         projections
     }
@@ -241,7 +241,7 @@
 
     /// Returns the time that the rest of a run should take on another worker.
     fn elsewhere_ms(&self, projection: &RunProjection) -> u64 {
-        let Place { job, step, unit } = projection.place;
+        let UnitRef { job, step, unit } = projection.place;
         let of_step = &self.jobs[job].steps[step];
         let median_ms = of_step.median_ms(&[unit]);
         let total_ms = median_ms.unwrap_or(of_step.spec.estimate_ms);
@@ -249,10 +249,10 @@
     }
 
     /// Says whether a task may move once more, and others have room for it.
-    fn try_take_move(&mut self, place: Place, from: WorkerKey, now: Millis) -> bool {
-        let Place { job, step, .. } = place;
+    fn try_take_move(&mut self, place: UnitRef, from: WorkerKey, now: Millis) -> bool {
+        let UnitRef { job, step, .. } = place;
         let of_step = &self.jobs[job].steps[step];
-        let need = of_step.spec.room();
+        let need = of_step.spec.reserved_resources();
         let label = of_step.spec.required_label.as_ref();
         let eligible = self.eligible_workers(label, &self.jobs[job], now);
         let mut others = eligible.into_iter().filter(|key| *key != from);
--- a/crates/sched/src/suspects.rs
+++ b/crates/sched/src/suspects.rs
@@ -20,10 +20,10 @@
 use crate::crash_history::Crash;
 use crate::crash_history::RECENT_RUN_MS;
 use crate::ids::JobKey;
-use crate::job::Announced;
+use crate::job::StartIntent;
 use crate::job::Step;
 use crate::job::UnitState;
-use crate::units::Place;
+use crate::units::UnitRef;
 
 /// Of a run that was not isolated, nothing else is blamed only where its worker went silent within this time.
 const SUDDEN_SILENCE_MS: u64 = 100;
@@ -174,7 +174,7 @@
             worker: crash.worker,
             crashes: history.count.workers,
             alone: crash.sole_suspect,
-            there_ms: crash.confirmed_ms,
+            present_ms: crash.confirmed_ms,
         };
         self.actions.push(Action::Note(note));
         self.mark_changed(job);
@@ -257,8 +257,8 @@
     }
 
     /// Keeps room for a task that workers crashed under on the worker that has least to lose.
-    pub(crate) fn place_suspect(&mut self, place: Place, fitting: &[WorkerKey], now: Millis) {
-        let Place { job, step, unit } = place;
+    pub(crate) fn place_suspect(&mut self, place: UnitRef, fitting: &[WorkerKey], now: Millis) {
+        let UnitRef { job, step, unit } = place;
         let open = fitting
             .iter()
             .filter(|key| self.workers[**key].may_take_start());
@@ -275,30 +275,33 @@
 
     /// Says whether a unit may be started where room is kept for it: of one that is suspected, the store has to know
     /// where. So a successor knows what to blame if a worker crashes under it while nobody is the scheduler.
-    pub(crate) fn ensure_announced(&mut self, place: Place) -> bool {
-        let Place { job, step, unit } = place;
+    pub(crate) fn ensure_announced(&mut self, place: UnitRef) -> bool {
+        let UnitRef { job, step, unit } = place;
         let of_unit = &self.jobs[job].steps[step].units[unit];
         if of_unit.crashes() == 0 {
             return true;
         }
-        if let Some(announced) = of_unit.announced {
-            return self.jobs[job].recorded >= announced.change;
+        if let Some(announced) = of_unit.start_intent {
+            return self.jobs[job].recorded_change >= announced.change;
         }
-        let before = of_unit.started;
+        let before = of_unit.last_started;
         let change = self.mark_changed(job);
         let of_unit = self.unit_mut(place);
-        of_unit.started = before.max(of_unit.accounted).next();
-        of_unit.announced = Some(Announced { before, change });
+        of_unit.last_started = before.max(of_unit.last_accounted).next();
+        of_unit.start_intent = Some(StartIntent {
+            previous_run: before,
+            change,
+        });
         false
     }
 
     /// Takes back what was announced of a unit: it is not started there.
-    pub(crate) fn retract_announcement(&mut self, place: Place) {
+    pub(crate) fn retract_announcement(&mut self, place: UnitRef) {
         let of_unit = self.unit_mut(place);
-        let Some(announced) = of_unit.announced.take() else {
+        let Some(announced) = of_unit.start_intent.take() else {
             return;
         };
-        of_unit.started = announced.before;
+        of_unit.last_started = announced.previous_run;
         self.mark_changed(place.job);
     }
 }
--- a/crates/sched/src/tick.rs
+++ b/crates/sched/src/tick.rs
@@ -5,7 +5,7 @@
 use crate::Scheduler;
 use crate::StopReason;
 use crate::WorkerKey;
-use crate::reports::belief;
+use crate::reports::status_note;
 use crate::worker::Phase;
 
 /// Most times that the time for which a worker is quarantined doubles.
@@ -14,8 +14,8 @@
 impl Scheduler {
     /// Looks at everything that time alone changes.
     pub(crate) fn tick(&mut self, now: Millis) {
-        self.recover(now);
-        self.give_up_strays(now);
+        self.try_complete_recovery(now);
+        self.discard_orphans(now);
         self.expire_misdirected(now);
         self.update_headroom_level();
         let mut keys: Vec<_> = self.workers.keys().collect();
@@ -31,7 +31,7 @@
         self.time_out_advice_calls(now);
         self.advance_waves(now);
         self.balance_pools(now);
-        self.forget_old(now);
+        self.forget_expired_jobs(now);
     }
 
     /// Takes what ran on a worker as ended once its leases have surely lapsed: it is silent, or they are let
@@ -39,9 +39,9 @@
     pub(crate) fn expire_lease(&mut self, key: WorkerKey, now: Millis) {
         let worker = &self.workers[key];
         if (worker.silent || worker.contact.withholds_lease) && worker.lapse_at <= now {
-            self.lapse_runs(key, now);
+            self.expire_runs(key, now);
         }
-        self.detach_if_over(key, now);
+        self.detach_if_idle(key, now);
     }
 
     /// Stops runs that stand still, and quarantines their worker.
@@ -67,8 +67,8 @@
         for (task, run) in stalled {
             if let Some((job, step, unit, _member)) = self.locate_task(task) {
                 let unit = &mut self.jobs[job].steps[step].units[unit];
-                if !unit.avoid.contains(&key) {
-                    unit.avoid.push(key);
+                if !unit.avoided_workers.contains(&key) {
+                    unit.avoided_workers.push(key);
                 }
             }
             self.stop_run(key, task, run, StopReason::Stalled, now);
@@ -107,13 +107,13 @@
         let times = 1_u64 << worker.quarantines.min(QUARANTINE_DOUBLINGS);
         worker.quarantines += 1;
         worker.quarantined_until = now.plus(self.options.quarantine_ms * times);
-        let note = belief(worker, why, now);
+        let note = status_note(worker, why, now);
         self.actions.push(note);
     }
 
     /// Moves what can go on elsewhere off a worker that is about to leave.
     pub(crate) fn evacuate_draining_worker(&mut self, key: WorkerKey, now: Millis) {
-        let note = belief(&self.workers[key], "draining", now);
+        let note = status_note(&self.workers[key], "draining", now);
         self.actions.push(note);
         let mut moves = Vec::new();
         for ((task, run), run_state) in &self.workers[key].runs {
--- a/crates/sched/tests/core/pools.rs
+++ b/crates/sched/tests/core/pools.rs
@@ -53,7 +53,7 @@
 
 fn run_for(driver: &mut Driver, in_service: usize, time_ms: u64) {
     for _ in 0..time_ms / 100 {
-        driver.pass(100);
+        driver.advance(100);
         driver.renew_leases();
         driver.apply(Event::Ticked);
         driver.list_vms(Some(vm_list(in_service, VmState::Up)));
@@ -122,10 +122,10 @@
 fn no_vm_moves_while_the_vm_list_is_stale() {
     let mut driver = driver();
     run_for(&mut driver, IN_SERVICE, 4_000);
-    driver.pass(3_000);
+    driver.advance(3_000);
     driver.submit(1, policy(0), vec![step(12, 1)]);
     for _ in 0..50 {
-        driver.pass(100);
+        driver.advance(100);
         driver.apply(Event::Ticked);
         driver.list_vms(None);
     }
@@ -157,7 +157,7 @@
         ..worker(2, 4)
     }));
     for key in driver.workers.clone() {
-        driver.hold(key, &[]);
+        driver.report_running(key, &[]);
     }
     run_for(&mut driver, IN_SERVICE + 1, 500);
     let mut started = driver.confirm_starts();
