--- a/crates/admit/src/lib.rs
+++ b/crates/admit/src/lib.rs
@@ -17,18 +17,18 @@
 //! - what can't be stored in time is turned away before anything of it is sent.
 
 mod admission;
+mod latency;
 mod options;
-mod pace;
 mod record;
 mod view;
 
 pub use admission::Action;
 pub use admission::Admission;
 pub use admission::AppendKey;
+pub use latency::LatencyEstimate;
 pub use options::AdmitOptions;
-pub use pace::Pace;
 pub use record::AppendAnswer;
-pub use record::HandedOver;
+pub use record::ForwardAnswer;
 pub use record::Outcome;
 pub use record::RecordKey;
 pub use view::View;
--- a/crates/admit/src/record.rs
+++ b/crates/admit/src/record.rs
@@ -19,7 +19,7 @@
     /// The store does not have it and never will.
     Refused {
         /// When its caller should come back.
-        come_back_ms: u64,
+        retry_after_ms: u64,
     },
     /// It may be in the store, or come into it.
     InDoubt,
@@ -38,7 +38,7 @@
 
 /// What the scheduler's node said of a record that was handed over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum HandedOver {
+pub enum ForwardAnswer {
     /// The store has it.
     Stored {
         /// The partition that has it.
@@ -47,7 +47,7 @@
     /// It surely was not stored there and will not be.
     Refused {
         /// When the caller should come back.
-        come_back_ms: u64,
+        retry_after_ms: u64,
     },
     /// The record never got there.
     NotSent,
@@ -57,13 +57,13 @@
 
 /// How far the handing over of a record is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum HandOver {
+pub(crate) enum ForwardState {
     /// It was not handed over.
-    Not,
+    NotForwarded,
     /// The scheduler's node has it, and has not answered.
-    UnderWay,
+    InFlight,
     /// It was, and that did not settle it.
-    Over,
+    Finished,
 }
 
 /// A record that is to be stored.
@@ -71,51 +71,51 @@
 pub(crate) struct Entry {
     pub(crate) bytes: usize,
     /// Its caller hears what is certain by then.
-    pub(crate) until: Millis,
+    pub(crate) deadline: Millis,
     /// Whether it waits for an append of this node.
-    pub(crate) is_waiting: bool,
+    pub(crate) is_queued: bool,
     /// When something of it was first sent.
-    pub(crate) sent_at: Option<Millis>,
-    pub(crate) hand_over: HandOver,
+    pub(crate) first_sent_at: Option<Millis>,
+    pub(crate) forward: ForwardState,
     /// Appends under way that contain it.
-    pub(crate) appends: u32,
+    pub(crate) appends_in_flight: u32,
     /// Appends that have contained it.
-    pub(crate) tries: u32,
+    pub(crate) attempts: u32,
     /// Appends of it that the store refused.
     pub(crate) refusals: u32,
     /// Whether a way that it went may have stored it.
-    pub(crate) doubt: bool,
+    pub(crate) may_be_stored: bool,
 }
 
 impl Entry {
-    pub(crate) const fn new(bytes: usize, until: Millis) -> Self {
+    pub(crate) const fn new(bytes: usize, deadline: Millis) -> Self {
         Self {
             bytes,
-            until,
-            is_waiting: false,
-            sent_at: None,
-            hand_over: HandOver::Not,
-            appends: 0,
-            tries: 0,
+            deadline,
+            is_queued: false,
+            first_sent_at: None,
+            forward: ForwardState::NotForwarded,
+            appends_in_flight: 0,
+            attempts: 0,
             refusals: 0,
-            doubt: false,
+            may_be_stored: false,
         }
     }
 
     /// Says whether some way may still bring an answer.
-    pub(crate) const fn is_under_way(&self) -> bool {
-        self.appends > 0 || matches!(self.hand_over, HandOver::UnderWay)
+    pub(crate) const fn is_in_flight(&self) -> bool {
+        self.appends_in_flight > 0 || matches!(self.forward, ForwardState::InFlight)
     }
 
     /// Says whether the store surely does not have it, whatever comes.
-    pub(crate) const fn is_surely_not_stored(&self) -> bool {
-        !self.is_under_way() && !self.doubt
+    pub(crate) const fn is_certainly_not_stored(&self) -> bool {
+        !self.is_in_flight() && !self.may_be_stored
     }
 
     /// Says what is certain now.
-    pub(crate) const fn outcome(&self, come_back_ms: u64) -> Outcome {
-        if self.is_surely_not_stored() {
-            Outcome::Refused { come_back_ms }
+    pub(crate) const fn outcome(&self, retry_after_ms: u64) -> Outcome {
+        if self.is_certainly_not_stored() {
+            Outcome::Refused { retry_after_ms }
         } else {
             Outcome::InDoubt
         }
--- a/crates/admit/src/view.rs
+++ b/crates/admit/src/view.rs
@@ -10,11 +10,11 @@
     /// When the latest of the calls to the store that were answered had been sent, but for reads that may wait.
     pub answered_sent_at: Millis,
     /// Whether the scheduler's node, another one, takes records to store them.
-    pub is_taken_over: bool,
+    pub has_collector: bool,
     /// Time of an append at the scheduler's node, as it told last.
-    pub told_append_ms: u64,
+    pub collector_append_ms: u64,
     /// Whether others hand their records to this node.
-    pub collects: bool,
+    pub is_collector: bool,
     /// The partition that this node writes to, among those of the topic.
     pub partition: u32,
     /// Partitions of the topic.
--- a/crates/admit/tests/admit/cell.rs
+++ b/crates/admit/tests/admit/simulation.rs
@@ -11,7 +11,7 @@
 use syc_admit::AdmitOptions;
 use syc_admit::AppendAnswer;
 use syc_admit::AppendKey;
-use syc_admit::HandedOver;
+use syc_admit::ForwardAnswer;
 use syc_admit::Outcome;
 use syc_admit::RecordKey;
 use syc_admit::View;
@@ -23,28 +23,28 @@
 const SCHEDULER: usize = 0;
 
 /// Time of a message from one node to another, or to the store.
-const HOP_MS: u64 = 3;
+const NETWORK_DELAY_MS: u64 = 3;
 
 /// Nodes hear from the scheduler's node this often.
-const CONTACT_MS: u64 = 150;
+const CONTACT_INTERVAL_MS: u64 = 150;
 
 /// The scheduler's node answers this much before the patience of who hands a record over.
-const REPLY_MS: u64 = 100;
+const REPLY_MARGIN_MS: u64 = 100;
 
 /// A node that hears nothing of the scheduler's for so long takes it to be silent.
-const SILENCE_MS: u64 = 700;
+const SCHEDULER_SILENCE_MS: u64 = 700;
 
 /// The scheduler's node tells the store this often that it is there, in a partition of its own.
-const HEARTBEAT_MS: u64 = 250;
+const HEARTBEAT_INTERVAL_MS: u64 = 250;
 
 /// The partition of the heartbeats.
-const HEARTBEATS: u32 = 1_000;
+const HEARTBEAT_PARTITION: u32 = 1_000;
 
 /// Time that a sound store takes for an append.
-const SOUND_MS: u64 = 4;
+const APPEND_MS: u64 = 4;
 
 /// A record has so many bytes.
-const BYTES: usize = 3_000;
+const RECORD_BYTES: usize = 3_000;
 
 /// What is played.
 #[derive(Debug, Clone, Copy)]
@@ -56,15 +56,15 @@
     pub slow_from_ms: u64,
     pub slow_until_ms: u64,
     /// How much slower it is then.
-    pub factor: u64,
+    pub slowdown: u64,
     /// Part of the store's answers that are lost then, in thousandths.
     pub lost_per_mille: u32,
     /// Whether the scheduler's node answers nobody while the store is slow.
     pub scheduler_silent: bool,
     /// Callers wait this long.
-    pub patience_ms: u64,
+    pub timeout_ms: u64,
     /// An append without an answer is given up after this time.
-    pub give_up_ms: u64,
+    pub append_timeout_ms: u64,
     pub end_ms: u64,
 }
 
@@ -77,11 +77,11 @@
             records_per_s: 130.0,
             slow_from_ms: 4_000,
             slow_until_ms: 10_000,
-            factor: 1,
+            slowdown: 1,
             lost_per_mille: 0,
             scheduler_silent: false,
-            patience_ms: 2_500,
-            give_up_ms: 3_000,
+            timeout_ms: 2_500,
+            append_timeout_ms: 3_000,
             end_ms: 16_000,
         }
     }
@@ -89,15 +89,15 @@
 
 /// What a caller heard.
 #[derive(Debug, Clone, Copy)]
-pub struct Heard {
-    pub came_at: u64,
+pub struct CallerAnswer {
+    pub submitted_at: u64,
     pub took_ms: u64,
     pub outcome: Outcome,
 }
 
 #[derive(Debug)]
 enum Delivery {
-    Answered {
+    AppendAnswered {
         node: usize,
         append: AppendKey,
         answer: AppendAnswer,
@@ -105,16 +105,16 @@
     /// The store has answered a heartbeat.
     Heartbeat { sent_at: Millis },
     /// The scheduler's node gets a record of another.
-    HandedOver {
+    Forwarded {
         node: usize,
         record: RecordKey,
-        patience_ms: u64,
+        timeout_ms: u64,
         sent_at: Millis,
     },
-    Said {
+    ForwardAnswered {
         node: usize,
         record: RecordKey,
-        said: HandedOver,
+        answer: ForwardAnswer,
         sent_at: Millis,
     },
 }
@@ -123,7 +123,7 @@
 #[derive(Debug, Clone, Copy)]
 enum Waiter {
     Caller {
-        came_at: Millis,
+        submitted_at: Millis,
     },
     Node {
         node: usize,
@@ -132,64 +132,64 @@
     },
 }
 
-pub struct Cell {
+pub struct Simulation {
     rng: SmallRng,
     setup: Setup,
     now: Millis,
     nodes: Vec<Admission>,
-    told_append_ms: Vec<u64>,
+    collector_append_ms: Vec<u64>,
     /// When the latest heartbeat that was answered had been sent.
     answered_sent_at: Millis,
     /// Nodes to which something has happened.
-    touched: Vec<bool>,
+    has_news: Vec<bool>,
     /// When each node has to decide though nothing happens.
     due_at: Vec<Option<Millis>>,
     waiters: HashMap<(usize, RecordKey), Waiter>,
     rows: StoreRows,
     deliveries: BTreeMap<(Millis, u64), Delivery>,
-    sent: u64,
+    deliveries_scheduled: u64,
     appends: u64,
-    due: f64,
-    pub heard: Vec<Heard>,
+    submissions_due: f64,
+    pub answers: Vec<CallerAnswer>,
 }
 
-impl Cell {
+impl Simulation {
     pub fn new(seed: u64, setup: Setup, options: AdmitOptions) -> Self {
         Self {
             rng: SmallRng::seed_from_u64(seed),
             now: Millis(0),
             nodes: (0..setup.nodes).map(|_| Admission::new(options)).collect(),
-            told_append_ms: vec![0; setup.nodes],
+            collector_append_ms: vec![0; setup.nodes],
             answered_sent_at: Millis(0),
-            touched: vec![false; setup.nodes],
+            has_news: vec![false; setup.nodes],
             due_at: vec![None; setup.nodes],
             waiters: HashMap::new(),
-            rows: StoreRows::new(SOUND_MS),
+            rows: StoreRows::new(APPEND_MS),
             deliveries: BTreeMap::new(),
-            sent: 0,
+            deliveries_scheduled: 0,
             appends: 0,
-            due: 0.0,
-            heard: Vec::new(),
+            submissions_due: 0.0,
+            answers: Vec::new(),
             setup,
         }
     }
 
     /// Plays until all callers have heard something.
-    pub fn play(&mut self) {
-        while self.now.0 < self.setup.end_ms + self.setup.patience_ms {
+    pub fn run(&mut self) {
+        while self.now.0 < self.setup.end_ms + self.setup.timeout_ms {
             self.now = self.now.plus(1);
             self.rows.append_ms = if self.is_slow() {
-                SOUND_MS * self.setup.factor
+                APPEND_MS * self.setup.slowdown
             } else {
-                SOUND_MS
+                APPEND_MS
             };
-            self.tell();
-            self.beat();
-            self.bring();
+            self.send_contacts();
+            self.send_heartbeat();
+            self.submit_records();
             self.deliver();
             for node in 0..self.setup.nodes {
                 let is_due = self.due_at[node].is_some_and(|at| at <= self.now);
-                if is_due || std::mem::take(&mut self.touched[node]) {
+                if is_due || std::mem::take(&mut self.has_news[node]) {
                     self.decide(node);
                 }
             }
@@ -205,56 +205,61 @@
         self.setup.scheduler_silent && self.is_slow()
     }
 
-    fn beat(&mut self) {
-        if !self.now.0.is_multiple_of(HEARTBEAT_MS) {
+    fn send_heartbeat(&mut self) {
+        if !self.now.0.is_multiple_of(HEARTBEAT_INTERVAL_MS) {
             return;
         }
         let sent_at = self.now;
-        if let RowAnswer::CarriedOut(at) = self.rows.append(HEARTBEATS, self.now.plus(HOP_MS))
-            && !self.is_lost()
+        if let RowAnswer::CarriedOut(at) = self
+            .rows
+            .append(HEARTBEAT_PARTITION, self.now.plus(NETWORK_DELAY_MS))
+            && !self.is_answer_lost()
         {
-            self.later(at.plus(HOP_MS), Delivery::Heartbeat { sent_at });
+            self.schedule(at.plus(NETWORK_DELAY_MS), Delivery::Heartbeat { sent_at });
         }
     }
 
-    fn is_lost(&mut self) -> bool {
+    fn is_answer_lost(&mut self) -> bool {
         self.is_slow() && self.rng.random_range(0..1_000) < self.setup.lost_per_mille
     }
 
     /// Each node hears at its own time what an append takes at the scheduler's node.
-    fn tell(&mut self) {
+    fn send_contacts(&mut self) {
         if self.is_scheduler_silent() {
             return;
         }
         let append_ms = self.nodes[SCHEDULER].append_ms(self.now);
-        for (node, told) in self.told_append_ms.iter_mut().enumerate() {
+        for (node, known_ms) in self.collector_append_ms.iter_mut().enumerate() {
             let offset = node as u64 * 7;
-            if (self.now.0 + offset).is_multiple_of(CONTACT_MS) {
-                *told = append_ms;
-                self.touched[node] = true;
+            if (self.now.0 + offset).is_multiple_of(CONTACT_INTERVAL_MS) {
+                *known_ms = append_ms;
+                self.has_news[node] = true;
             }
         }
     }
 
-    fn bring(&mut self) {
+    fn submit_records(&mut self) {
         if self.now.0 > self.setup.end_ms {
             return;
         }
-        self.due += self.setup.records_per_s / 1_000.0 * self.rng.random_range(0.0..=2.0);
-        while self.due >= 1.0 {
-            self.due -= 1.0;
+        self.submissions_due +=
+            self.setup.records_per_s / 1_000.0 * self.rng.random_range(0.0..=2.0);
+        while self.submissions_due >= 1.0 {
+            self.submissions_due -= 1.0;
             let node = self.rng.random_range(0..self.setup.nodes);
-            let until = self.now.plus(self.setup.patience_ms);
-            let record = self.nodes[node].offer(BYTES, until);
-            self.touched[node] = true;
-            let waiter = Waiter::Caller { came_at: self.now };
+            let deadline = self.now.plus(self.setup.timeout_ms);
+            let record = self.nodes[node].offer(RECORD_BYTES, deadline);
+            self.has_news[node] = true;
+            let waiter = Waiter::Caller {
+                submitted_at: self.now,
+            };
             self.waiters.insert((node, record), waiter);
         }
     }
 
     fn view(&self, node: usize) -> View {
-        let silent_ms = self.now.0.saturating_sub(self.setup.slow_from_ms);
-        let is_missed = self.is_scheduler_silent() && silent_ms > SILENCE_MS;
+        let silence_ms = self.now.0.saturating_sub(self.setup.slow_from_ms);
+        let is_silence_noticed = self.is_scheduler_silent() && silence_ms > SCHEDULER_SILENCE_MS;
         View {
             store_answers: true,
             answered_sent_at: if node == SCHEDULER {
@@ -262,9 +267,9 @@
             } else {
                 Millis(0)
             },
-            is_taken_over: node != SCHEDULER && !is_missed,
-            told_append_ms: self.told_append_ms[node],
-            collects: node == SCHEDULER,
+            has_collector: node != SCHEDULER && !is_silence_noticed,
+            collector_append_ms: self.collector_append_ms[node],
+            is_collector: node == SCHEDULER,
             partition: u32::try_from(node).expect("few nodes") % self.setup.partitions,
             partitions: self.setup.partitions,
         }
@@ -278,50 +283,49 @@
                 Action::Append {
                     append, partition, ..
                 } => self.append(node, append, partition),
-                Action::HandOver {
-                    record,
-                    patience_ms,
-                } => {
+                Action::Forward { record, timeout_ms } => {
                     let sent_at = self.now;
-                    let delivery = Delivery::HandedOver {
+                    let delivery = Delivery::Forwarded {
                         node,
                         record,
-                        patience_ms,
+                        timeout_ms,
                         sent_at,
                     };
-                    self.later(self.now.plus(HOP_MS), delivery);
+                    self.schedule(self.now.plus(NETWORK_DELAY_MS), delivery);
                 }
                 Action::Answer { record, outcome } => self.answer(node, record, outcome),
             }
         }
-        self.due_at[node] = self.nodes[node].next_at(self.now);
+        self.due_at[node] = self.nodes[node].next_decision_at(self.now);
     }
 
     fn append(&mut self, node: usize, append: AppendKey, partition: u32) {
         self.appends += 1;
-        let lost = self.is_lost();
-        let (at, answer) = match self.rows.append(partition, self.now.plus(HOP_MS)) {
-            RowAnswer::Full => (self.now.plus(2 * HOP_MS), AppendAnswer::Refused),
-            RowAnswer::CarriedOut(at) if lost || at.since(self.now) > self.setup.give_up_ms => {
-                let given_up_at = self.now.plus(self.setup.give_up_ms);
-                (given_up_at, AppendAnswer::InDoubt)
+        let lost = self.is_answer_lost();
+        let (at, answer) = match self.rows.append(partition, self.now.plus(NETWORK_DELAY_MS)) {
+            RowAnswer::Full => (self.now.plus(2 * NETWORK_DELAY_MS), AppendAnswer::Refused),
+            RowAnswer::CarriedOut(at)
+                if lost || at.since(self.now) > self.setup.append_timeout_ms =>
+            {
+                let timed_out_at = self.now.plus(self.setup.append_timeout_ms);
+                (timed_out_at, AppendAnswer::InDoubt)
             }
-            RowAnswer::CarriedOut(at) => (at.plus(HOP_MS), AppendAnswer::Stored),
+            RowAnswer::CarriedOut(at) => (at.plus(NETWORK_DELAY_MS), AppendAnswer::Stored),
         };
-        let delivery = Delivery::Answered {
+        let delivery = Delivery::AppendAnswered {
             node,
             append,
             answer,
         };
-        self.later(at, delivery);
+        self.schedule(at, delivery);
     }
 
     fn answer(&mut self, node: usize, record: RecordKey, outcome: Outcome) {
         let waiter = self.waiters.remove(&(node, record)).expect("a waiter");
         match waiter {
-            Waiter::Caller { came_at } => self.heard.push(Heard {
-                came_at: came_at.0,
-                took_ms: self.now.since(came_at),
+            Waiter::Caller { submitted_at } => self.answers.push(CallerAnswer {
+                submitted_at: submitted_at.0,
+                took_ms: self.now.since(submitted_at),
                 outcome,
             }),
             Waiter::Node {
@@ -329,25 +333,28 @@
                 record,
                 sent_at,
             } => {
-                let said = match outcome {
-                    Outcome::Stored { partition } => HandedOver::Stored { partition },
-                    Outcome::Refused { come_back_ms } => HandedOver::Refused { come_back_ms },
-                    Outcome::InDoubt => HandedOver::InDoubt,
+                let answer = match outcome {
+                    Outcome::Stored { partition } => ForwardAnswer::Stored { partition },
+                    Outcome::Refused { retry_after_ms } => {
+                        ForwardAnswer::Refused { retry_after_ms }
+                    }
+                    Outcome::InDoubt => ForwardAnswer::InDoubt,
                 };
-                let delivery = Delivery::Said {
+                let delivery = Delivery::ForwardAnswered {
                     node,
                     record,
-                    said,
+                    answer,
                     sent_at,
                 };
-                self.later(self.now.plus(HOP_MS), delivery);
+                self.schedule(self.now.plus(NETWORK_DELAY_MS), delivery);
             }
         }
     }
 
-    fn later(&mut self, at: Millis, delivery: Delivery) {
-        self.sent += 1;
-        self.deliveries.insert((at, self.sent), delivery);
+    fn schedule(&mut self, at: Millis, delivery: Delivery) {
+        self.deliveries_scheduled += 1;
+        self.deliveries
+            .insert((at, self.deliveries_scheduled), delivery);
     }
 
     fn deliver(&mut self) {
@@ -356,57 +363,63 @@
                 return;
             }
             match entry.remove() {
-                Delivery::Answered {
+                Delivery::AppendAnswered {
                     node,
                     append,
                     answer,
                 } => {
                     self.nodes[node].append_answered(append, answer, self.now);
-                    self.touched[node] = true;
+                    self.has_news[node] = true;
                 }
                 Delivery::Heartbeat { sent_at } => {
                     self.answered_sent_at = self.answered_sent_at.max(sent_at);
-                    self.touched[SCHEDULER] = true;
+                    self.has_news[SCHEDULER] = true;
                 }
-                Delivery::HandedOver {
+                Delivery::Forwarded {
                     node,
                     record,
-                    patience_ms,
+                    timeout_ms,
                     sent_at,
-                } => self.take_over(node, record, patience_ms, sent_at),
-                Delivery::Said {
+                } => self.receive_forwarded(node, record, timeout_ms, sent_at),
+                Delivery::ForwardAnswered {
                     node,
                     record,
-                    said,
+                    answer,
                     sent_at,
                 } => {
                     let took_ms = self.now.since(sent_at);
-                    self.nodes[node].handed_over(record, said, took_ms);
-                    self.touched[node] = true;
+                    self.nodes[node].forward_answered(record, answer, took_ms);
+                    self.has_news[node] = true;
                 }
             }
         }
     }
 
-    fn take_over(&mut self, node: usize, record: RecordKey, patience_ms: u64, sent_at: Millis) {
+    fn receive_forwarded(
+        &mut self,
+        node: usize,
+        record: RecordKey,
+        timeout_ms: u64,
+        sent_at: Millis,
+    ) {
         if self.is_scheduler_silent() {
             return;
         }
-        let until = self.now.plus(patience_ms.saturating_sub(REPLY_MS));
-        let taken = self.nodes[SCHEDULER].offer_of_other(BYTES, until);
-        self.touched[SCHEDULER] = true;
+        let deadline = self.now.plus(timeout_ms.saturating_sub(REPLY_MARGIN_MS));
+        let forwarded = self.nodes[SCHEDULER].offer_forwarded(RECORD_BYTES, deadline);
+        self.has_news[SCHEDULER] = true;
         let waiter = Waiter::Node {
             node,
             record,
             sent_at,
         };
-        self.waiters.insert((SCHEDULER, taken), waiter);
+        self.waiters.insert((SCHEDULER, forwarded), waiter);
     }
 
     /// Returns what callers heard who came in some time.
-    pub fn heard_in(&self, from_ms: u64, until_ms: u64) -> Vec<Heard> {
-        let in_time = |heard: &&Heard| (from_ms..until_ms).contains(&heard.came_at);
-        self.heard.iter().filter(in_time).copied().collect()
+    pub fn answers_to_calls_in(&self, from_ms: u64, until_ms: u64) -> Vec<CallerAnswer> {
+        let in_time = |answer: &&CallerAnswer| (from_ms..until_ms).contains(&answer.submitted_at);
+        self.answers.iter().filter(in_time).copied().collect()
     }
 
     /// Returns the number of appends of records that were sent.
--- a/crates/cell/src/accept.rs
+++ b/crates/cell/src/accept.rs
@@ -12,7 +12,7 @@
 use syc_admit::AdmitOptions;
 use syc_admit::AppendAnswer;
 use syc_admit::AppendKey;
-use syc_admit::HandedOver;
+use syc_admit::ForwardAnswer;
 use syc_admit::Outcome;
 use syc_admit::RecordKey;
 use syc_admit::View;
@@ -184,7 +184,9 @@
                 }
                 Stored::Stored
             }
-            Outcome::Refused { come_back_ms } => Stored::Refused { come_back_ms },
+            Outcome::Refused { retry_after_ms } => Stored::Refused {
+                come_back_ms: retry_after_ms,
+            },
             Outcome::InDoubt => Stored::InDoubt,
         }
     }
@@ -206,7 +208,7 @@
 
     async fn tell_scheduler(&self, partition: u32, record: Record) {
         if let Some(leader) = self.leader() {
-            leader.take_job_record(partition, &record);
+            leader.apply_job_record(partition, &record);
             return;
         }
         let link = self.link.borrow().clone();
@@ -240,13 +242,13 @@
             .accepting
             .admission
             .borrow_mut()
-            .offer_of_other(record.size(), until);
+            .offer_forwarded(record.size(), until);
         let settled = self.wait_for(key, record.clone()).await;
         match settled.outcome {
             Outcome::Stored { partition } => {
                 let leader = self.leader();
                 if let Some(leader) = &leader {
-                    leader.take_job_record(partition, &record);
+                    leader.apply_job_record(partition, &record);
                 }
                 RelayReply {
                     stored: true,
@@ -255,9 +257,9 @@
                     ..RelayReply::default()
                 }
             }
-            Outcome::Refused { come_back_ms } => RelayReply {
+            Outcome::Refused { retry_after_ms } => RelayReply {
                 refused: true,
-                come_back_ms,
+                come_back_ms: retry_after_ms,
                 ..RelayReply::default()
             },
             Outcome::InDoubt => RelayReply::default(),
@@ -270,9 +272,9 @@
         View {
             store_answers: self.store_answers(),
             answered_sent_at: self.store.answered_sent_at(),
-            is_taken_over: link.is_some(),
-            told_append_ms: link.map_or(0, |link| link.append_ms()),
-            collects: self.leader().is_some(),
+            has_collector: link.is_some(),
+            collector_append_ms: link.map_or(0, |link| link.append_ms()),
+            is_collector: self.leader().is_some(),
             partition: self.partition.get(),
             partitions: self.settings.job_partitions(),
         }
@@ -296,16 +298,13 @@
                     let appended = Rc::clone(self).append_batch(append, partition, records);
                     actix_rt::spawn(appended);
                 }
-                Action::HandOver {
-                    record,
-                    patience_ms,
-                } => {
-                    actix_rt::spawn(Rc::clone(self).hand_over(record, patience_ms));
+                Action::Forward { record, timeout_ms } => {
+                    actix_rt::spawn(Rc::clone(self).hand_over(record, timeout_ms));
                 }
                 Action::Answer { record, outcome } => queue.answer(record, outcome),
             }
         }
-        let next_at = queue.admission.borrow().next_at(now());
+        let next_at = queue.admission.borrow().next_decision_at(now());
         queue.set_due(next_at);
     }
 
@@ -329,13 +328,13 @@
         let record = self.accepting.copies(&[key]).pop();
         let said = match (link, record) {
             (Some(link), Some(record)) => self.relay(&link, key, record, patience_ms).await,
-            _ => HandedOver::NotSent,
+            _ => ForwardAnswer::NotSent,
         };
         let took_ms = now().since(began);
         self.accepting
             .admission
             .borrow_mut()
-            .handed_over(key, said, took_ms);
+            .forward_answered(key, said, took_ms);
         self.decide_admission();
     }
 
@@ -345,7 +344,7 @@
         key: RecordKey,
         record: Record,
         patience_ms: u64,
-    ) -> HandedOver {
+    ) -> ForwardAnswer {
         let query = CellBody::Relay(Relay {
             key: record.key.to_string(),
             value: record.value,
@@ -356,15 +355,15 @@
                 if let Some(waiting) = self.accepting.records.borrow_mut().get_mut(key) {
                     waiting.is_taken = reply.taken;
                 }
-                HandedOver::Stored {
+                ForwardAnswer::Stored {
                     partition: reply.partition,
                 }
             }
-            Ok(CellBody::RelayReply(reply)) if reply.refused => HandedOver::Refused {
-                come_back_ms: reply.come_back_ms.max(self.settings.timing.retry_after_ms),
+            Ok(CellBody::RelayReply(reply)) if reply.refused => ForwardAnswer::Refused {
+                retry_after_ms: reply.come_back_ms.max(self.settings.timing.retry_after_ms),
             },
-            Err(syc_net::CallError::NotSent) => HandedOver::NotSent,
-            Ok(_) | Err(syc_net::CallError::NoReply) => HandedOver::InDoubt,
+            Err(syc_net::CallError::NotSent) => ForwardAnswer::NotSent,
+            Ok(_) | Err(syc_net::CallError::NoReply) => ForwardAnswer::InDoubt,
         }
     }
 }
--- a/crates/cell/src/contact.rs
+++ b/crates/cell/src/contact.rs
@@ -279,7 +279,7 @@
         key: notice.key.into(),
         value: notice.value,
     };
-    leader.take_job_record(notice.partition, &record);
+    leader.apply_job_record(notice.partition, &record);
     true
 }
 
@@ -288,7 +288,9 @@
     P: Platform,
 {
     let leader = node.leader();
-    let partition = leader.as_ref().map_or(0, |leader| leader.met(contact));
+    let partition = leader
+        .as_ref()
+        .map_or(0, |leader| leader.register_peer(contact));
     // A scheduler that the store turns away cannot note what ends: a node that the store answers
     // need not wait out its silence.
     let store = node.store_view();
--- a/crates/cell/src/follow.rs
+++ b/crates/cell/src/follow.rs
@@ -116,7 +116,7 @@
     });
     drop(waves);
     if let Some(leader) = node.leader() {
-        leader.take_wave(wave, 0);
+        leader.apply_wave(wave, 0);
     }
 }
 
@@ -130,7 +130,7 @@
     if newer {
         *node.configuration.borrow_mut() = Some(Rc::new(configuration));
         if let Some(leader) = node.leader() {
-            leader.take_standby();
+            leader.apply_standby();
         }
     }
 }
--- a/crates/cell/src/holders.rs
+++ b/crates/cell/src/holders.rs
@@ -293,7 +293,7 @@
     if let Some(leading) = leading
         && own.is_none_or(|own| own.token != leading.token)
     {
-        leading.end("another_was_chosen");
+        leading.step_down("another_was_chosen");
     }
     match own {
         Some(own) if node.leader().is_none() => {
--- a/crates/cell/src/leader.rs
+++ b/crates/cell/src/leader.rs
@@ -1,19 +1,19 @@
 //! What the scheduler of a cell does: it carries out the decisions of `syc-sched`.
 
+mod adaptive_timeout;
 mod advice;
 mod heartbeat;
-mod held_back;
-mod links;
-mod load;
 mod orders;
-mod patience;
+mod progress_writer;
 mod readers;
-mod records;
+pub(crate) mod retry_report;
 mod roster;
 mod sessions;
 mod stages;
+mod takeover;
+mod unreadable_jobs;
 mod vms;
-pub(crate) mod waits;
+mod worker_link;
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -22,9 +22,8 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-use held_back::HeldBack;
-use patience::Patience;
-use records::ProgressWriter;
+use adaptive_timeout::AdaptiveTimeout;
+use progress_writer::ProgressWriter;
 use roster::Roster;
 use sessions::Session;
 use slotmap::SecondaryMap;
@@ -42,6 +41,7 @@
 use syc_types::Millis;
 use syc_wire::cell::Contact;
 use tokio::sync::Notify;
+use unreadable_jobs::UnreadableJobs;
 
 use crate::Node;
 use crate::PendingAnswer;
@@ -57,29 +57,29 @@
 use crate::ports::Record;
 
 /// Events within this time share one look at the waiting tasks.
-const LOOK_SPACING_MS: u64 = 3;
+const SCHEDULE_INTERVAL_MS: u64 = 3;
 
 /// Part of a worker's lease by which its clock may run slow, in thousandths.
 const CLOCK_DRIFT_PER_MILLE: u64 = 25;
 
 /// Longest time that an order is taken to be under way before its lease counts.
-const ORDER_TRAVEL_MS: u64 = 150;
+const MAX_ORDER_DELAY_MS: u64 = 150;
 
 /// Heartbeats that a worker may miss before its registration lapses.
-const HEARTBEATS_MISSED: u64 = 3;
+const MAX_MISSED_HEARTBEATS: u64 = 3;
 
 /// Longest time from a worker's heartbeat until the store shows it, beside that.
-const HEARTBEAT_TRAVEL_MS: u64 = 500;
+const MAX_HEARTBEAT_DELAY_MS: u64 = 500;
 
 /// What the store shows counts as current for this long after it was asked.
-const FRESH_MS: u64 = 2_500;
+const MAX_JOBS_READ_AGE_MS: u64 = 2_500;
 
 /// A scheduler that hears no other node for this long hands the role over, and one that hears no worker for as long
 /// beyond the time that workers are given.
-const CUT_OFF_MS: u64 = 1_500;
+const ISOLATION_TIMEOUT_MS: u64 = 1_500;
 
 /// A node that handed the role over does not claim it again for this long.
-const CLAIM_PAUSE_MS: u64 = 5_000;
+const RECLAIM_DELAY_MS: u64 = 5_000;
 
 /// The role of scheduler, held by this node.
 #[derive(Debug)]
@@ -92,48 +92,48 @@
     pub(crate) token: u64,
     scheduler: RefCell<Scheduler>,
     /// Jobs that can't be read.
-    held_back: HeldBack,
+    unreadable_jobs: UnreadableJobs,
     /// Whether the jobs and workers were read from the store.
     loaded: Cell<bool>,
     ended: Cell<bool>,
     /// Whether new starts are held back because the role is being handed over.
     handing_over: Cell<bool>,
-    began_at: Millis,
+    started_at: Millis,
     /// Where progress is written.
     progress: ProgressWriter,
     /// The workers that may run something, as the store has them.
     roster: Roster,
     /// Asks for a look at the waiting tasks.
-    look: Notify,
+    schedule_notify: Notify,
     /// Asks for progress to be written.
-    write: Notify,
+    progress_notify: Notify,
     /// Tells that progress was written.
-    written: Notify,
+    progress_written: Notify,
     sessions: RefCell<SecondaryMap<WorkerKey, Session>>,
     advisers: RefCell<Advisers>,
     /// Time beyond the expected that answers of the advice service take.
-    advice_patience: Patience,
+    advice_timeout: AdaptiveTimeout,
     /// Links to the nodes that call for advice, but for the scheduler's own.
     adviser_clients: RefCell<BTreeMap<SmolStr, Rc<PeerClient>>>,
     /// When each partition of the topic of jobs was last asked for what proved to reach its end.
     jobs_read_at: RefCell<Vec<Millis>>,
     /// Partitions that hold what was submitted of a job; several where its submit was repeated.
-    jobs_in: RefCell<HashMap<JobId, Vec<u32>>>,
+    partitions_by_job: RefCell<HashMap<JobId, Vec<u32>>>,
     /// Jobs whose specification is to be removed, and jobs to be forgotten.
-    drops: RefCell<Vec<JobId>>,
-    forgets: RefCell<Vec<JobId>>,
+    specs_to_remove: RefCell<Vec<JobId>>,
+    progress_to_remove: RefCell<Vec<JobId>>,
     /// What operators are to be told.
     statuses: RefCell<VecDeque<Record>>,
     /// Asks for that to be written.
-    tell: Notify,
-    met_others_at: Cell<Option<Millis>>,
+    status_notify: Notify,
+    peer_heard_at: Cell<Option<Millis>>,
     /// What shows that there is no successor.
     authority: RefCell<Authority>,
     /// Tells that the store took the first heartbeat.
-    heartbeat_taken: Cell<bool>,
-    heartbeat: Notify,
+    heartbeat_accepted: Cell<bool>,
+    heartbeat_notify: Notify,
     day: RefCell<CellDay>,
-    heard_workers_at: Cell<Millis>,
+    workers_heard_at: Cell<Millis>,
     tasks: RefCell<Vec<actix_rt::task::JoinHandle<()>>>,
 }
 
@@ -154,43 +154,43 @@
             node: Rc::clone(node),
             token,
             scheduler: RefCell::new(scheduler),
-            held_back: HeldBack::default(),
+            unreadable_jobs: UnreadableJobs::default(),
             loaded: Cell::new(false),
             ended: Cell::new(false),
             handing_over: Cell::new(false),
-            began_at: now(),
+            started_at: now(),
             progress: ProgressWriter::default(),
             roster: Roster::default(),
-            look: Notify::new(),
-            write: Notify::new(),
-            written: Notify::new(),
+            schedule_notify: Notify::new(),
+            progress_notify: Notify::new(),
+            progress_written: Notify::new(),
             sessions: RefCell::default(),
             advisers: RefCell::new(Advisers::with_own(node.settings.name.clone(), now())),
-            advice_patience: Patience::default(),
+            advice_timeout: AdaptiveTimeout::default(),
             adviser_clients: RefCell::default(),
             jobs_read_at: RefCell::new(vec![Millis(0); partitions]),
-            jobs_in: RefCell::default(),
-            drops: RefCell::default(),
-            forgets: RefCell::default(),
+            partitions_by_job: RefCell::default(),
+            specs_to_remove: RefCell::default(),
+            progress_to_remove: RefCell::default(),
             statuses: RefCell::default(),
-            tell: Notify::new(),
-            met_others_at: Cell::new(None),
+            status_notify: Notify::new(),
+            peer_heard_at: Cell::new(None),
             authority: RefCell::new(Authority::new(options.authority_ms)),
-            heartbeat_taken: Cell::new(false),
-            heartbeat: Notify::new(),
+            heartbeat_accepted: Cell::new(false),
+            heartbeat_notify: Notify::new(),
             day: RefCell::new(CellDay::after(node.told_day.get())),
-            heard_workers_at: Cell::new(now()),
+            workers_heard_at: Cell::new(now()),
             tasks: RefCell::default(),
         });
-        leader.follow_day();
+        leader.update_day();
         node.partition.set(0);
         *node.leader.borrow_mut() = Some(Rc::clone(&leader));
         leader.spawn(heartbeat::send_heartbeats(Rc::clone(&leader)));
-        leader.spawn(load::run(Rc::clone(&leader)));
+        leader.spawn(takeover::take_over(Rc::clone(&leader)));
     }
 
     /// Returns the condition that refuses appends of a predecessor, by the token as the epoch.
-    fn fenced(&self, producer: &'static str, sequence: u64) -> Condition {
+    fn producer_condition(&self, producer: &'static str, sequence: u64) -> Condition {
         Condition::Producer {
             name: SmolStr::new_static(producer),
             epoch: self.token,
@@ -206,16 +206,16 @@
     }
 
     /// Gives the role up at once: nothing more is ordered.
-    pub(crate) fn end(&self, reason: &'static str) {
+    pub(crate) fn step_down(&self, reason: &'static str) {
         if self.ended.replace(true) {
             return;
         }
-        log::left(self.token, reason, now().since(self.began_at));
+        log::left(self.token, reason, now().since(self.started_at));
         for task in self.tasks.borrow().iter() {
             task.abort();
         }
         for session in self.sessions.borrow().values() {
-            session.end();
+            session.abort();
         }
         self.node.platform.close_connections();
         let mut leader = self.node.leader.borrow_mut();
@@ -225,7 +225,7 @@
         {
             *leader = None;
         }
-        let pause_until = now().plus(CLAIM_PAUSE_MS);
+        let pause_until = now().plus(RECLAIM_DELAY_MS);
         if reason != "another_was_chosen" {
             self.node.claim_not_before.set(pause_until);
         }
@@ -236,7 +236,7 @@
         if self.handing_over.replace(true) || self.ended.get() {
             return;
         }
-        self.write_rest().await;
+        self.flush_progress().await;
         self.release(reason).await;
     }
 
@@ -247,16 +247,16 @@
         }
         let actions = self.scheduler.borrow_mut().handle(event, now());
         self.perform(actions);
-        self.look.notify_one();
+        self.schedule_notify.notify_one();
         if self.scheduler.borrow().has_records() {
-            self.write.notify_one();
+            self.progress_notify.notify_one();
         }
     }
 
     /// Looks at the waiting tasks whenever something has changed.
-    async fn look_at_waiting(self: Rc<Self>) {
+    async fn run_scheduling(self: Rc<Self>) {
         loop {
-            self.look.notified().await;
+            self.schedule_notify.notified().await;
             if self.handing_over.get() {
                 continue;
             }
@@ -268,9 +268,9 @@
             };
             self.perform(actions);
             if self.scheduler.borrow().has_records() {
-                self.write.notify_one();
+                self.progress_notify.notify_one();
             }
-            pause(LOOK_SPACING_MS).await;
+            pause(SCHEDULE_INTERVAL_MS).await;
         }
     }
 
@@ -296,14 +296,14 @@
                     step,
                     workers,
                     expected_ms,
-                } => self.ask(step, workers, expected_ms),
+                } => self.request_advice(step, workers, expected_ms),
                 Action::ListVms { asked_at } => self.list_vms(asked_at),
                 Action::OrderVm { vm, duty } => self.order_vm(vm, duty),
-                Action::TellWave { wave, completed } => self.tell_wave(wave, completed),
-                Action::DropSpec(id) => self.drops.borrow_mut().push(id),
-                Action::Forget(id) => self.forgets.borrow_mut().push(id),
+                Action::TellWave { wave, completed } => self.queue_wave_status(wave, completed),
+                Action::DropSpec(id) => self.specs_to_remove.borrow_mut().push(id),
+                Action::Forget(id) => self.progress_to_remove.borrow_mut().push(id),
                 Action::Note(note) => {
-                    self.measure_note(&note);
+                    self.record_note_stages(&note);
                     log::note(&note);
                 }
             }
@@ -311,14 +311,14 @@
     }
 
     /// Tells the state of a job, where what was read of the jobs is current.
-    pub(crate) fn state(&self, id: JobId) -> StateAnswer {
+    pub(crate) fn job_state(&self, id: JobId) -> StateAnswer {
         if !self.loaded.get() {
             return StateAnswer::Unsure;
         }
         if let Some(state) = self.scheduler.borrow().state_of(id) {
             return StateAnswer::Known(state);
         }
-        if self.knows_all_jobs() && !self.held_back.has(id) {
+        if self.knows_all_jobs() && !self.unreadable_jobs.contains(id) {
             StateAnswer::NoSuchJob
         } else {
             StateAnswer::Unsure
@@ -329,11 +329,13 @@
     fn knows_all_jobs(&self) -> bool {
         let now = now();
         let read_at = self.jobs_read_at.borrow();
-        read_at.iter().all(|at| now.since(*at) < FRESH_MS)
+        read_at
+            .iter()
+            .all(|at| now.since(*at) < MAX_JOBS_READ_AGE_MS)
     }
 
     /// Tells how many jobs of a queue have not begun.
-    pub(crate) fn pending(&self, queue: &str) -> PendingAnswer {
+    pub(crate) fn pending_jobs(&self, queue: &str) -> PendingAnswer {
         if !self.loaded.get() || !self.knows_all_jobs() {
             return PendingAnswer::Unsure;
         }
@@ -353,9 +355,9 @@
 
     /// Takes note that another node is there. Returns the partition that it should write jobs to:
     /// another one for each node, as far as they reach.
-    pub(crate) fn met(&self, contact: &Contact) -> u32 {
-        self.met_others_at.set(Some(now()));
-        self.meet_adviser(contact);
+    pub(crate) fn register_peer(&self, contact: &Contact) -> u32 {
+        self.peer_heard_at.set(Some(now()));
+        self.register_adviser(contact);
         self.note_follower(contact);
         if let Some(day) = told_day(now(), contact.day_ms) {
             let name = SmolStr::from(contact.node.as_str());
@@ -370,7 +372,7 @@
     }
 
     /// Has timed jobs due by the time of day that the nodes agree on.
-    pub(crate) fn follow_day(&self) {
+    pub(crate) fn update_day(&self) {
         let agreed = self.agreed_day();
         self.scheduler.borrow_mut().set_day(agreed.day);
     }
@@ -388,7 +390,7 @@
     }
 
     /// Takes note that the store took an append under the fencing token that was sent at a time.
-    fn note_taken(&self, sent_at: Millis) {
+    fn note_append_accepted(&self, sent_at: Millis) {
         self.authority.borrow_mut().note_taken(sent_at);
     }
 
@@ -401,34 +403,34 @@
     /// Says whether half of the workers have been silent for longer than they are given to answer.
     ///
     /// With a fixed time, nodes handed the role round over workers that are all slow to answer.
-    fn is_cut_from_workers(&self, now: Millis) -> bool {
+    fn is_isolated_from_workers(&self, now: Millis) -> bool {
         if self.scheduler.borrow().hears_half() {
-            self.heard_workers_at.set(now);
+            self.workers_heard_at.set(now);
             return false;
         }
-        now.since(self.heard_workers_at.get()) > CUT_OFF_MS + self.usual_slack_ms()
+        now.since(self.workers_heard_at.get()) > ISOLATION_TIMEOUT_MS + self.median_slack_ms()
     }
 
     /// Hands the role on if this node seems cut off while the store, and so the others, may not be.
-    pub(crate) fn watch_self(self: &Rc<Self>) {
+    pub(crate) fn hand_over_if_isolated(self: &Rc<Self>) {
         if self.authority.borrow().is_over(now()) {
-            self.end("isolated");
+            self.step_down("isolated");
             return;
         }
         if !self.loaded.get() || self.handing_over.get() || !self.node.store_answers() {
             return;
         }
         let now = now();
-        let cut_from_nodes = self
-            .met_others_at
+        let isolated_from_nodes = self
+            .peer_heard_at
             .get()
-            .is_some_and(|at| now.since(at) > CUT_OFF_MS);
-        let cut_from_workers = self.is_cut_from_workers(now);
-        if !cut_from_nodes && !cut_from_workers {
+            .is_some_and(|at| now.since(at) > ISOLATION_TIMEOUT_MS);
+        let isolated_from_workers = self.is_isolated_from_workers(now);
+        if !isolated_from_nodes && !isolated_from_workers {
             return;
         }
         let leader = Rc::clone(self);
-        let reason = if cut_from_nodes {
+        let reason = if isolated_from_nodes {
             "cut_off_from_nodes"
         } else {
             "cut_off_from_workers"
@@ -448,14 +450,15 @@
     let longest_drift_ms = longest_ms * CLOCK_DRIFT_PER_MILLE / 1_000;
     let status_drift_ms = settings.status_ms * CLOCK_DRIFT_PER_MILLE / 1_000;
     Options {
-        lease_bound_ms: lease_ms + drift_ms + ORDER_TRAVEL_MS,
-        longest_lease_ms: longest_ms + longest_drift_ms + ORDER_TRAVEL_MS,
+        lease_bound_ms: lease_ms + drift_ms + MAX_ORDER_DELAY_MS,
+        longest_lease_ms: longest_ms + longest_drift_ms + MAX_ORDER_DELAY_MS,
         stop_ms: settings.stop_limit_ms,
         status_ms: settings.status_ms + status_drift_ms,
         upkeep_ms: settings.upkeep_ms,
         vm_order_pause_ms: settings.vm_order_pause_ms,
         order_retry_ms: settings.timing.order_timeout_ms,
-        told_within_ms: settings.worker_heartbeat_ms * HEARTBEATS_MISSED + HEARTBEAT_TRAVEL_MS,
+        told_within_ms: settings.worker_heartbeat_ms * MAX_MISSED_HEARTBEATS
+            + MAX_HEARTBEAT_DELAY_MS,
         ..Options::default()
     }
 }
--- a/crates/cell/src/leader/advice.rs
+++ b/crates/cell/src/leader/advice.rs
@@ -28,14 +28,14 @@
 use crate::unreadable::Source;
 
 /// A call may take at least this long beyond what its service is expected to.
-const SLACK_MS: u64 = 300;
+const MIN_SLACK_MS: u64 = 300;
 
 impl<P> Leader<P>
 where
     P: Platform,
 {
     /// Takes note of a node that can call for advice.
-    pub(super) fn meet_adviser(&self, contact: &Contact) {
+    pub(super) fn register_adviser(&self, contact: &Contact) {
         let Ok(address) = contact.address.parse() else {
             let reason = "the address of the node is malformed";
             self.node
@@ -54,9 +54,14 @@
     }
 
     /// Has advice asked for by the node that is free first.
-    pub(super) fn ask(self: &Rc<Self>, step: StepId, workers: Vec<WorkerKey>, expected_ms: f64) {
+    pub(super) fn request_advice(
+        self: &Rc<Self>,
+        step: StepId,
+        workers: Vec<WorkerKey>,
+        expected_ms: f64,
+    ) {
         let expected = Duration::from_secs_f64(expected_ms.clamp(0.0, 60_000.0) / 1_000.0);
-        let whole_ms = u64::try_from(expected.as_millis()).unwrap_or(u64::MAX);
+        let expected_whole_ms = u64::try_from(expected.as_millis()).unwrap_or(u64::MAX);
         let (length, names) = {
             let scheduler = self.scheduler.borrow();
             let length = scheduler.options().length_of_call(expected_ms);
@@ -66,19 +71,21 @@
         let leader = Rc::clone(self);
         actix_rt::spawn(async move {
             let asked_at = now();
-            let advice = leader.call_for_advice(step, &names, whole_ms, length).await;
+            let advice = leader
+                .call_advice_service(step, &names, expected_whole_ms, length)
+                .await;
             let took_ms = now().since(asked_at);
-            leader.measure(step.job, Stage::Advice, took_ms);
+            leader.record_stage(step.job, Stage::Advice, took_ms);
             let allowed = advice.as_ref().map_or(0, |advice| advice.allowed.len());
             log::advised(
                 step,
                 names.len(),
                 allowed,
                 took_ms,
-                whole_ms,
+                expected_whole_ms,
                 advice.as_ref().err(),
             );
-            let answer = leader.answer_of(advice);
+            let answer = leader.to_advice_answer(advice);
             leader.apply(Event::Advised {
                 step,
                 asked: workers,
@@ -87,14 +94,14 @@
         });
     }
 
-    async fn call_for_advice(
+    async fn call_advice_service(
         &self,
         step: StepId,
         workers: &[WorkerId],
         expected_ms: u64,
         length: CallLength,
     ) -> Result<Advice, AdviceError> {
-        let slack_ms = self.advice_patience.timeout_ms(SLACK_MS);
+        let slack_ms = self.advice_timeout.timeout_ms(MIN_SLACK_MS);
         let timeout_ms = expected_ms + slack_ms;
         let Some(name) = self.advisers.borrow_mut().take(length, now()) else {
             return Err(AdviceError(SmolStr::new_static("no node is free")));
@@ -117,7 +124,7 @@
                     workers: workers.iter().map(|id| id.as_str().to_owned()).collect(),
                     timeout_ms,
                 });
-                let reply = contact::call(&client, query, timeout_ms + SLACK_MS).await;
+                let reply = contact::call(&client, query, timeout_ms + MIN_SLACK_MS).await;
                 let lost = |error: syc_net::CallError| AdviceError(error.to_string().into());
                 reply.map_err(lost).and_then(adviser::advice_of)
             }
@@ -125,15 +132,15 @@
         let took_ms = now().since(sent_at);
         // One that failed at once says nothing of how long an answer takes.
         if advice.is_ok() || took_ms >= timeout_ms {
-            let beyond_ms = took_ms.saturating_sub(expected_ms);
-            self.advice_patience.note(beyond_ms.min(slack_ms));
+            let excess_ms = took_ms.saturating_sub(expected_ms);
+            self.advice_timeout.record(excess_ms.min(slack_ms));
         }
         let mut advisers = self.advisers.borrow_mut();
         advisers.give_back(&name, length, advice.is_ok(), now());
         advice
     }
 
-    fn answer_of(&self, advice: Result<Advice, AdviceError>) -> AdviceAnswer {
+    fn to_advice_answer(&self, advice: Result<Advice, AdviceError>) -> AdviceAnswer {
         let Ok(advice) = advice else {
             return AdviceAnswer::Failed;
         };
--- a/crates/cell/src/leader/heartbeat.rs
+++ b/crates/cell/src/leader/heartbeat.rs
@@ -21,7 +21,7 @@
 const RELEASE_PRODUCER: &str = "release";
 
 /// Tries to tell the store that the role is free, before the others find out by the silence.
-const RELEASE_TRIES: u32 = 3;
+const MAX_RELEASE_ATTEMPTS: u32 = 3;
 
 /// Appends heartbeats until the role is lost.
 ///
@@ -33,7 +33,7 @@
     let mut sequence = 0;
     loop {
         let record = records::holder(&leader.holder_record(false));
-        let condition = leader.fenced(PRODUCER, sequence);
+        let condition = leader.producer_condition(PRODUCER, sequence);
         let sent_at = now();
         let appended = leader
             .node
@@ -45,7 +45,7 @@
                 leader.note_heartbeat(sent_at);
             }
             Err(AppendError::Fenced) => {
-                leader.end("fenced_by_store");
+                leader.step_down("fenced_by_store");
                 return;
             }
             Err(AppendError::OutOfSequence { expected }) => {
@@ -66,19 +66,19 @@
     /// Takes note that the store took a heartbeat that was sent at a time, or would have: it refuses those of
     /// predecessors from then on.
     fn note_heartbeat(&self, sent_at: Millis) {
-        self.note_taken(sent_at);
-        self.heartbeat_taken.set(true);
-        self.heartbeat.notify_waiters();
+        self.note_append_accepted(sent_at);
+        self.heartbeat_accepted.set(true);
+        self.heartbeat_notify.notify_waiters();
     }
 
     /// Waits until the store refuses the heartbeats of predecessors, by which they would give orders still.
     pub(super) async fn fence_heartbeats(&self) {
         loop {
-            let taken = self.heartbeat.notified();
-            if self.heartbeat_taken.get() {
+            let accepted = self.heartbeat_notify.notified();
+            if self.heartbeat_accepted.get() {
                 return;
             }
-            taken.await;
+            accepted.await;
         }
     }
 
@@ -95,11 +95,11 @@
 
     /// Ends the role and tells the store that it is free.
     pub(super) async fn release(self: &Rc<Self>, reason: &'static str) {
-        self.end(reason);
+        self.step_down(reason);
         let record = records::holder(&self.holder_record(true));
         let mut sequence = 0;
-        for _ in 0..RELEASE_TRIES {
-            let condition = self.fenced(RELEASE_PRODUCER, sequence);
+        for _ in 0..MAX_RELEASE_ATTEMPTS {
+            let condition = self.producer_condition(RELEASE_PRODUCER, sequence);
             let appended = self
                 .node
                 .append(Topic::Holders, 0, std::slice::from_ref(&record), &condition)
--- a/crates/cell/src/leader/orders.rs
+++ b/crates/cell/src/leader/orders.rs
@@ -14,8 +14,8 @@
 
 use crate::clock::now;
 use crate::leader::Leader;
-use crate::leader::links::OrderKind;
-use crate::leader::links::WorkerLink;
+use crate::leader::worker_link::OrderKind;
+use crate::leader::worker_link::WorkerLink;
 use crate::log;
 use crate::ports::OrderError;
 use crate::ports::PaceCommand;
@@ -24,7 +24,7 @@
 use crate::ports::StopCommand;
 
 /// Why an order is not sent by a scheduler that may have a successor.
-pub(super) const ANOTHER_MAY_BE_CHOSEN: SmolStr =
+pub(super) const POSSIBLY_SUPERSEDED: SmolStr =
     SmolStr::new_static("another scheduler may have been chosen");
 
 impl<P> Leader<P>
@@ -32,9 +32,9 @@
     P: Platform,
 {
     /// Fails where the role has ended while an order waited for its turn.
-    fn check_role(&self) -> Result<(), OrderError> {
+    fn ensure_active(&self) -> Result<(), OrderError> {
         if self.ended.get() {
-            return Err(OrderError::NotSent(ANOTHER_MAY_BE_CHOSEN));
+            return Err(OrderError::NotSent(POSSIBLY_SUPERSEDED));
         }
         Ok(())
     }
@@ -51,7 +51,7 @@
             return;
         };
         log::run_ordered(&order, &link.address.id, self.token);
-        self.measure_room(&order);
+        self.record_room_stage(&order);
         let lease_from = self.lease_from(order.decided_at);
         let lease_until_ms = lease_from.and_then(|from| link.lease_until_ms(from, lease_ms));
         let worker = order.worker;
@@ -69,9 +69,9 @@
         actix_rt::spawn(async move {
             let started = match &command {
                 Some(command) => leader.send_start(&link, command).await,
-                None => Err(OrderError::NotSent(ANOTHER_MAY_BE_CHOSEN)),
+                None => Err(OrderError::NotSent(POSSIBLY_SUPERSEDED)),
             };
-            leader.take_start_answer(worker, (task, run), &link, started);
+            leader.apply_start_result(worker, (task, run), &link, started);
         });
     }
 
@@ -81,18 +81,18 @@
         command: &StartCommand,
     ) -> Result<(), OrderError> {
         let sent_at = now();
-        let least_ms = self.node.settings.timing.order_timeout_ms;
+        let min_timeout_ms = self.node.settings.timing.order_timeout_ms;
         let start = async |timeout_ms| {
-            self.check_role()?;
+            self.ensure_active()?;
             let platform = &self.node.platform;
             platform.start(&link.address, command, timeout_ms).await
         };
-        let started = link.send(OrderKind::Start, least_ms, start).await;
-        self.measure(command.task.step.job, Stage::Order, now().since(sent_at));
+        let started = link.send(OrderKind::Start, min_timeout_ms, start).await;
+        self.record_stage(command.task.step.job, Stage::Order, now().since(sent_at));
         started
     }
 
-    fn take_start_answer(
+    fn apply_start_result(
         self: &Rc<Self>,
         worker: WorkerKey,
         (task, run): (TaskId, Run),
@@ -101,9 +101,9 @@
     ) {
         let answer = match started {
             Ok(()) => StartAnswer::Started,
-            Err(error) if self.is_settled_by(worker, &error) => return,
+            Err(error) if self.handle_terminal_error(worker, &error) => return,
             Err(error) => {
-                log::start_failed(&self.untaken(task, run, link, &error));
+                log::start_failed(&self.failed_order(task, run, link, &error));
                 match error {
                     OrderError::Refused(refusal) => StartAnswer::Refused(refusal),
                     OrderError::NotSent(_) | OrderError::NoConnection(_) => StartAnswer::NotSent,
@@ -119,7 +119,7 @@
         });
     }
 
-    fn untaken<'a>(
+    fn failed_order<'a>(
         &self,
         task: TaskId,
         run: Run,
@@ -132,18 +132,18 @@
             run,
             worker: &link.address.id,
             error,
-            under_way: link.under_way(),
+            under_way: link.orders_in_flight(),
             connections_opened: platform.connections_opened_to(&link.address),
         }
     }
 
     /// Acts on an answer that says more than what became of the order: the worker's incarnation is over, or
     /// this scheduler's role is. Says whether it did.
-    fn is_settled_by(self: &Rc<Self>, worker: WorkerKey, error: &OrderError) -> bool {
+    fn handle_terminal_error(self: &Rc<Self>, worker: WorkerKey, error: &OrderError) -> bool {
         match error {
             OrderError::Replaced => self.apply(Event::Replaced { worker }),
             OrderError::Reborn => self.apply(Event::Reborn { worker }),
-            OrderError::Fenced => self.end("fenced_by_worker"),
+            OrderError::Fenced => self.step_down("fenced_by_worker"),
             OrderError::Refused(_)
             | OrderError::NotSent(_)
             | OrderError::NoConnection(_)
@@ -181,19 +181,19 @@
         link: &WorkerLink,
         command: PaceCommand,
     ) {
-        let least_ms = self.node.settings.timing.order_timeout_ms;
+        let min_timeout_ms = self.node.settings.timing.order_timeout_ms;
         let pace = async |timeout_ms| {
-            self.check_role()?;
+            self.ensure_active()?;
             let platform = &self.node.platform;
             platform.pace(&link.address, &command, timeout_ms).await
         };
-        let paced = link.send(OrderKind::Control, least_ms, pace).await;
-        let taken = match paced {
+        let paced = link.send(OrderKind::Control, min_timeout_ms, pace).await;
+        let accepted = match paced {
             Ok(()) => true,
-            Err(error) if self.is_settled_by(worker, &error) => return,
+            Err(error) if self.handle_terminal_error(worker, &error) => return,
             Err(error) => {
-                let untaken = self.untaken(command.task, command.run, link, &error);
-                log::pace_failed(&untaken, command.percent);
+                let failed = self.failed_order(command.task, command.run, link, &error);
+                log::pace_failed(&failed, command.percent);
                 false
             }
         };
@@ -202,7 +202,7 @@
             task: command.task,
             run: command.run,
             percent: command.percent,
-            taken,
+            taken: accepted,
         });
     }
 
@@ -233,19 +233,19 @@
         link: &WorkerLink,
         command: StopCommand,
     ) {
-        let least_ms = self.node.settings.timing.order_timeout_ms;
+        let min_timeout_ms = self.node.settings.timing.order_timeout_ms;
         let stop = async |timeout_ms| {
-            self.check_role()?;
+            self.ensure_active()?;
             let platform = &self.node.platform;
             platform.stop(&link.address, &command, timeout_ms).await
         };
-        let stopped = link.send(OrderKind::Control, least_ms, stop).await;
-        let taken = match stopped {
+        let stopped = link.send(OrderKind::Control, min_timeout_ms, stop).await;
+        let accepted = match stopped {
             Ok(()) => true,
-            Err(error) if self.is_settled_by(worker, &error) => return,
+            Err(error) if self.handle_terminal_error(worker, &error) => return,
             // It is sent again until it is taken.
             Err(error) => {
-                log::stop_failed(&self.untaken(command.task, command.run, link, &error));
+                log::stop_failed(&self.failed_order(command.task, command.run, link, &error));
                 false
             }
         };
@@ -253,7 +253,7 @@
             worker,
             task: command.task,
             run: command.run,
-            taken,
+            taken: accepted,
         });
     }
 }
--- a/crates/cell/src/leader/records.rs
+++ b/crates/cell/src/leader/progress_writer.rs
@@ -13,7 +13,7 @@
 use crate::clock::now;
 use crate::clock::pause;
 use crate::leader::Leader;
-use crate::leader::waits::Waits;
+use crate::leader::retry_report::RetryReport;
 use crate::log;
 use crate::ports::AppendError;
 use crate::ports::Condition;
@@ -26,7 +26,7 @@
 const PRODUCER: &str = "scheduler";
 
 /// Most jobs whose progress shares one append.
-const BATCH_JOBS: usize = 1_000;
+const MAX_BATCH_JOBS: usize = 1_000;
 
 /// Wait after an append that failed.
 const RETRY_MS: u64 = 50;
@@ -35,71 +35,71 @@
 const REMOVE_INTERVAL_MS: u64 = 500;
 
 /// Most time that a scheduler that hands the role over takes to write what is left.
-const LAST_WRITE_MS: u64 = 600;
+const FINAL_WRITE_TIMEOUT_MS: u64 = 600;
 
 /// Partitions of the topic of progress. Where one takes nothing, the other does; a successor fences
 /// and reads both.
 pub(super) const PROGRESS_PARTITIONS: u32 = 2;
 
 /// Appends that a partition refuses before the other is tried.
-const REFUSALS_LIMIT: u32 = 2;
+const MAX_REFUSALS: u32 = 2;
 
 /// A partition with an append in doubt is not written to again for this long: the store may carry an
 /// append out seconds late, and would then take the next of the same number for a repeat of it.
-const RETURN_MS: u64 = 15_000;
+const IN_DOUBT_BLOCK_MS: u64 = 15_000;
 
 /// Where progress is written.
 #[derive(Debug, Default)]
 pub(super) struct ProgressWriter {
-    partition: Cell<u32>,
-    lanes: [Lane; 2],
+    current: Cell<u32>,
+    states: [PartitionState; 2],
 }
 
 /// What is known of a partition of the topic of progress.
 #[derive(Debug)]
-struct Lane {
+struct PartitionState {
     /// Number of the next append.
     sequence: Cell<u64>,
     /// Not to be written to before this time.
-    closed_until: Cell<Millis>,
+    blocked_until: Cell<Millis>,
 }
 
-impl Default for Lane {
+impl Default for PartitionState {
     fn default() -> Self {
         Self {
             sequence: Cell::new(1),
-            closed_until: Cell::new(Millis(0)),
+            blocked_until: Cell::new(Millis(0)),
         }
     }
 }
 
 impl ProgressWriter {
-    fn lane(&self, partition: u32) -> &Lane {
-        &self.lanes[usize::from(partition > 0)]
+    fn partition_state(&self, partition: u32) -> &PartitionState {
+        &self.states[usize::from(partition > 0)]
     }
 
     /// Leaves a partition for the other, where that may be written to. Says whether it did.
-    fn switch(&self, in_doubt: bool) -> bool {
-        let partition = self.partition.get();
+    fn switch_partition(&self, in_doubt: bool) -> bool {
+        let partition = self.current.get();
         let other = (partition + 1) % PROGRESS_PARTITIONS;
         let now = now();
-        if self.lane(other).closed_until.get() > now {
+        if self.partition_state(other).blocked_until.get() > now {
             return false;
         }
         if in_doubt {
-            let lane = self.lane(partition);
-            lane.closed_until.set(now.plus(RETURN_MS));
+            let state = self.partition_state(partition);
+            state.blocked_until.set(now.plus(IN_DOUBT_BLOCK_MS));
             // The append in doubt may have used the number.
-            lane.sequence.set(lane.sequence.get() + 1);
+            state.sequence.set(state.sequence.get() + 1);
         }
-        self.partition.set(other);
+        self.current.set(other);
         log::progress_moved(partition, other, in_doubt);
         true
     }
 }
 
 /// Writes progress whenever there is any.
-pub(super) async fn write_records<P>(leader: Rc<Leader<P>>)
+pub(super) async fn write_progress<P>(leader: Rc<Leader<P>>)
 where
     P: Platform,
 {
@@ -111,7 +111,7 @@
         if leader.ended.get() {
             return;
         }
-        leader.write.notified().await;
+        leader.progress_notify.notified().await;
     }
 }
 
@@ -121,14 +121,14 @@
 {
     /// Makes the store refuse what predecessors have still to write. Says whether that was possible.
     pub(super) async fn fence_progress(&self) -> bool {
-        let fences = (0..PROGRESS_PARTITIONS).map(|partition| self.fence(partition));
+        let fences = (0..PROGRESS_PARTITIONS).map(|partition| self.fence_partition(partition));
         join_all(fences).await.into_iter().all(|fenced| fenced)
     }
 
-    async fn fence(&self, partition: u32) -> bool {
-        let mut waits = Waits::new(Topic::Progress, partition);
+    async fn fence_partition(&self, partition: u32) -> bool {
+        let mut retries = RetryReport::new(Topic::Progress, partition);
         loop {
-            let condition = self.fenced(PRODUCER, 0);
+            let condition = self.producer_condition(PRODUCER, 0);
             let node = &self.node;
             let sent_at = now();
             let fenced = node
@@ -136,19 +136,22 @@
                 .await;
             match fenced {
                 Ok(_) => {
-                    self.note_taken(sent_at);
+                    self.note_append_accepted(sent_at);
                     return true;
                 }
                 Err(AppendError::Fenced) => {
-                    self.end("fenced_by_store");
+                    self.step_down("fenced_by_store");
                     return false;
                 }
                 // The epoch was set by an earlier try whose answer was lost.
                 Err(AppendError::OutOfSequence { expected }) => {
-                    self.progress.lane(partition).sequence.set(expected);
+                    self.progress
+                        .partition_state(partition)
+                        .sequence
+                        .set(expected);
                     return true;
                 }
-                Err(error) => waits.note(self.token, "fence", &error),
+                Err(error) => retries.report_failure(self.token, "fence", &error),
             }
             pause(RETRY_MS).await;
         }
@@ -157,30 +160,30 @@
     /// Writes the progress of some jobs. Says whether there was any.
     async fn write_batch(self: &Rc<Self>) -> bool {
         let day = self.node.settings.day_clock.read();
-        let mut taken = self
+        let mut changed_jobs = self
             .scheduler
             .borrow_mut()
-            .take_records(BATCH_JOBS, now(), day);
+            .take_records(MAX_BATCH_JOBS, now(), day);
         // A worker that is gone leaves the roster no sooner than what was concluded of it is stored: a successor that
         // does not know its name can't conclude it again.
-        let all_taken = taken.len() < BATCH_JOBS;
-        let roster = if all_taken {
-            self.roster.change(self.token)
+        let is_last_batch = changed_jobs.len() < MAX_BATCH_JOBS;
+        let roster = if is_last_batch {
+            self.roster.pending_change(self.token)
         } else {
             None
         };
         let waves = self.scheduler.borrow().wave_records();
-        if taken.is_empty() && roster.is_none() && waves.is_empty() {
-            return self.prove_jobs().await;
+        if changed_jobs.is_empty() && roster.is_none() && waves.is_empty() {
+            return self.append_proof().await;
         }
-        let mut batch: Vec<Record> = Vec::with_capacity(taken.len() + 1);
+        let mut batch: Vec<Record> = Vec::with_capacity(changed_jobs.len() + 1);
         if let Some(change) = &roster {
             batch.extend_from_slice(&change.records);
         }
         for (progress, change) in &waves {
             batch.push(records::wave(self.token, *change, progress));
         }
-        for (id, _change, progress) in &mut taken {
+        for (id, _change, progress) in &mut changed_jobs {
             progress.version.token = self.token;
             batch.push(records::progress(*id, progress));
         }
@@ -189,51 +192,54 @@
         let Some(sent_at) = self.append_progress(&batch).await else {
             return false;
         };
-        self.take_proof(jobs_added, sent_at);
+        self.record_proof(jobs_added, sent_at);
         let written_ms = now().since(began);
-        for (id, _change, progress) in &taken {
+        for (id, _change, progress) in &changed_jobs {
             if progress.state.is_terminal() {
                 log::job_shown(*id, progress.state, written_ms);
-                self.measure(*id, Stage::Write, written_ms);
+                self.record_stage(*id, Stage::Write, written_ms);
             }
         }
-        let jobs: Vec<(JobId, u64)> = taken.iter().map(|(id, change, _)| (*id, *change)).collect();
+        let jobs: Vec<(JobId, u64)> = changed_jobs
+            .iter()
+            .map(|(id, change, _)| (*id, *change))
+            .collect();
         self.apply(Event::Recorded { jobs });
         if let Some(change) = roster {
-            self.take_recorded(&change);
+            self.apply_roster_recorded(&change);
         }
         for (progress, change) in waves {
             let wave = progress.number;
             self.apply(Event::WaveRecorded { wave, change });
         }
-        self.written.notify_waiters();
+        self.progress_written.notify_waiters();
         true
     }
 
     /// Has the store take something where nothing else is to be written, if jobs wait for that. Says whether it did.
-    async fn prove_jobs(self: &Rc<Self>) -> bool {
+    async fn append_proof(self: &Rc<Self>) -> bool {
         let sent_at = now();
         if !self.scheduler.borrow().wants_proof(sent_at) {
             return false;
         }
         let jobs_added = self.scheduler.borrow().jobs_added();
         // It appends nothing, so its number is not one of those of the appends.
-        let condition = self.fenced(PRODUCER, 0);
-        let partition = self.progress.partition.get();
+        let condition = self.producer_condition(PRODUCER, 0);
+        let partition = self.progress.current.get();
         let taken = self
             .node
             .append(Topic::Progress, partition, &[], &condition)
             .await;
         match taken {
             Ok(_) | Err(AppendError::OutOfSequence { .. }) => {
-                self.take_proof(jobs_added, sent_at);
+                self.record_proof(jobs_added, sent_at);
             }
             Err(AppendError::Fenced) => {
-                self.end("fenced_by_store");
+                self.step_down("fenced_by_store");
                 return false;
             }
             Err(_noted) => {
-                self.progress.switch(false);
+                self.progress.switch_partition(false);
                 pause(RETRY_MS).await;
             }
         }
@@ -241,19 +247,19 @@
     }
 
     /// Asks for a proof if jobs wait for one, or soon will.
-    pub(crate) fn renew_proof(&self) {
+    pub(crate) fn request_proof(&self) {
         if self.scheduler.borrow().wants_proof(now()) {
-            self.write.notify_one();
+            self.progress_notify.notify_one();
         }
     }
 
-    fn take_proof(&self, jobs_added: u64, sent_at: Millis) {
-        self.note_taken(sent_at);
+    fn record_proof(&self, jobs_added: u64, sent_at: Millis) {
+        self.note_append_accepted(sent_at);
         let mut scheduler = self.scheduler.borrow_mut();
         let had_waiting = scheduler.wants_proof(now());
         scheduler.set_proof(jobs_added, sent_at);
         if had_waiting {
-            self.look.notify_one();
+            self.schedule_notify.notify_one();
         }
     }
 
@@ -262,10 +268,10 @@
         let writer = &self.progress;
         let mut refusals = 0;
         loop {
-            let partition = writer.partition.get();
-            let lane = writer.lane(partition);
-            let sequence = lane.sequence.get();
-            let condition = self.fenced(PRODUCER, sequence);
+            let partition = writer.current.get();
+            let state = writer.partition_state(partition);
+            let sequence = state.sequence.get();
+            let condition = self.producer_condition(PRODUCER, sequence);
             let sent_at = now();
             let appended = self
                 .node
@@ -273,26 +279,26 @@
                 .await;
             match appended {
                 Ok(_) => {
-                    lane.sequence.set(sequence + 1);
+                    state.sequence.set(sequence + 1);
                     return Some(sent_at);
                 }
                 Err(AppendError::Fenced) => {
-                    self.end("fenced_by_store");
+                    self.step_down("fenced_by_store");
                     return None;
                 }
                 Err(AppendError::OutOfSequence { expected }) => {
-                    lane.sequence.set(expected);
+                    state.sequence.set(expected);
                     continue;
                 }
                 Err(AppendError::InDoubt(_)) => {
                     // Elsewhere the number stays: the store takes the same append once only.
-                    if writer.switch(true) {
+                    if writer.switch_partition(true) {
                         continue;
                     }
                 }
                 Err(AppendError::Refused(_) | AppendError::EndsElsewhere { .. }) => {
                     refusals += 1;
-                    if refusals >= REFUSALS_LIMIT && writer.switch(false) {
+                    if refusals >= MAX_REFUSALS && writer.switch_partition(false) {
                         refusals = 0;
                     }
                 }
@@ -305,12 +311,12 @@
     ///
     /// What was submitted of a job must be gone before: a successor that read it without its progress would
     /// run the job again.
-    async fn remove_forgotten(&self) {
-        let forgets = self.take_forgets();
-        if forgets.is_empty() {
+    async fn remove_progress(&self) {
+        let ids = self.take_removable_progress();
+        if ids.is_empty() {
             return;
         }
-        let removals: Vec<_> = forgets.iter().map(|id| records::forgotten(*id)).collect();
+        let removals: Vec<_> = ids.iter().map(|id| records::forgotten(*id)).collect();
         for partition in 0..PROGRESS_PARTITIONS {
             let removed = self
                 .node
@@ -318,45 +324,45 @@
                 .await;
             if removed.is_err() {
                 // The next round removes them; until then they take a little of the store's room.
-                self.forgets.borrow_mut().extend(forgets);
+                self.progress_to_remove.borrow_mut().extend(ids);
                 return;
             }
         }
     }
 
-    fn take_forgets(&self) -> Vec<JobId> {
-        let jobs_in = self.jobs_in.borrow();
+    fn take_removable_progress(&self) -> Vec<JobId> {
+        let partitions_by_job = self.partitions_by_job.borrow();
         let scheduler = self.scheduler.borrow();
-        let mut forgets = self.forgets.borrow_mut();
+        let mut progress_to_remove = self.progress_to_remove.borrow_mut();
         // A job that was submitted once more is the scheduler's to forget again.
-        forgets.retain(|id| scheduler.state_of(*id).is_none());
-        forgets
-            .extract_if(.., |id| !jobs_in.contains_key(id))
+        progress_to_remove.retain(|id| scheduler.state_of(*id).is_none());
+        progress_to_remove
+            .extract_if(.., |id| !partitions_by_job.contains_key(id))
             .collect()
     }
 
     /// Waits until what is known now is written, or the time for that is over.
-    pub(super) async fn write_rest(self: &Rc<Self>) {
-        let until = now().plus(LAST_WRITE_MS);
+    pub(super) async fn flush_progress(self: &Rc<Self>) {
+        let until = now().plus(FINAL_WRITE_TIMEOUT_MS);
         while now() < until && self.scheduler.borrow().has_records() {
-            self.write.notify_one();
+            self.progress_notify.notify_one();
             pause(RETRY_MS / 5).await;
         }
     }
 }
 
 /// Removes what was submitted of jobs that have ended.
-pub(super) async fn write_removals<P>(leader: Rc<Leader<P>>)
+pub(super) async fn remove_ended_jobs<P>(leader: Rc<Leader<P>>)
 where
     P: Platform,
 {
     loop {
         pause(REMOVE_INTERVAL_MS).await;
-        leader.remove_forgotten().await;
-        let drops = std::mem::take(&mut *leader.drops.borrow_mut());
+        leader.remove_progress().await;
+        let specs_to_remove = std::mem::take(&mut *leader.specs_to_remove.borrow_mut());
         let mut by_partition: BTreeMap<u32, Vec<JobId>> = BTreeMap::new();
-        for id in drops {
-            let partitions = leader.jobs_in.borrow_mut().remove(&id);
+        for id in specs_to_remove {
+            let partitions = leader.partitions_by_job.borrow_mut().remove(&id);
             for partition in partitions.unwrap_or_default() {
                 by_partition.entry(partition).or_default().push(id);
             }
@@ -370,8 +376,8 @@
             if removed.is_err() {
                 // A later removal does no harm, and none is needed before the job is forgotten.
                 for id in ids {
-                    leader.note_partition(id, partition);
-                    leader.drops.borrow_mut().push(id);
+                    leader.track_job_partition(id, partition);
+                    leader.specs_to_remove.borrow_mut().push(id);
                 }
             }
         }
--- a/crates/cell/src/leader/readers.rs
+++ b/crates/cell/src/leader/readers.rs
@@ -71,14 +71,14 @@
         Ok(page) => {
             let count = u64::try_from(page.records.len()).unwrap_or(0);
             let next = page.first + count;
-            take_jobs(leader, partition, &page.records);
+            apply_job_records(leader, partition, &page.records);
             let reached_end = next >= page.end;
             (reached_end || count > 0).then_some(JobsRead { next, reached_end })
         }
         Err(ReadError::Gone { .. }) => {
             let newest = node.newest(Topic::Jobs, partition).await.ok()?;
             let records: Vec<_> = newest.records.into_iter().map(|(_, r)| r).collect();
-            take_jobs(leader, partition, &records);
+            apply_job_records(leader, partition, &records);
             Some(JobsRead {
                 next: newest.read_from,
                 reached_end: true,
@@ -88,12 +88,12 @@
     }
 }
 
-fn take_jobs<P>(leader: &Rc<Leader<P>>, partition: u32, records: &[Record])
+fn apply_job_records<P>(leader: &Rc<Leader<P>>, partition: u32, records: &[Record])
 where
     P: Platform,
 {
     for record in records {
-        leader.take_job_record(partition, record);
+        leader.apply_job_record(partition, record);
     }
 }
 
@@ -102,16 +102,17 @@
     P: Platform,
 {
     /// Takes a record that the store has: a job, or the cancelling of one.
-    pub(crate) fn take_job_record(self: &Rc<Self>, partition: u32, record: &Record) {
+    pub(crate) fn apply_job_record(self: &Rc<Self>, partition: u32, record: &Record) {
         if !self.loaded.get() {
             // It will be read with all the others.
             return;
         }
         match read_job(record) {
-            JobRecord::Submitted(spec) if self.held_back.has_progress_of(spec.id) => {}
+            JobRecord::Submitted(spec) if self.unreadable_jobs.has_unreadable_progress(spec.id) => {
+            }
             JobRecord::Submitted(spec) => {
-                self.held_back.take_spec(spec.id);
-                self.note_partition(spec.id, partition);
+                self.unreadable_jobs.mark_spec_readable(spec.id);
+                self.track_job_partition(spec.id, partition);
                 let known = self.scheduler.borrow().state_of(spec.id).is_some();
                 let age_ms = self.age_ms(partition, &spec);
                 if !known {
@@ -120,25 +121,25 @@
                     self.node.metrics.stage(queue, Stage::HandOver, age_ms);
                 }
                 self.apply(Event::JobStored { spec, age_ms });
-                self.renew_proof();
+                self.request_proof();
             }
             JobRecord::Cancelled(id) => {
-                self.note_partition(id, partition);
+                self.track_job_partition(id, partition);
                 self.apply(Event::JobCancelled(id));
             }
             JobRecord::Removed => {
                 if let Ok(id) = record.key.parse() {
-                    self.held_back.take_spec(id);
+                    self.unreadable_jobs.mark_spec_readable(id);
                 }
             }
-            JobRecord::Unreadable { key, reason } => self.hold_back(&key, &reason),
+            JobRecord::Unreadable { key, reason } => self.mark_spec_unreadable(&key, &reason),
         }
     }
 
     /// Remembers where records of a job are, until they are removed.
-    pub(super) fn note_partition(&self, id: JobId, partition: u32) {
-        let mut jobs_in = self.jobs_in.borrow_mut();
-        let partitions = jobs_in.entry(id).or_default();
+    pub(super) fn track_job_partition(&self, id: JobId, partition: u32) {
+        let mut partitions_by_job = self.partitions_by_job.borrow_mut();
+        let partitions = partitions_by_job.entry(id).or_default();
         if !partitions.contains(&partition) {
             partitions.push(partition);
         }
@@ -149,7 +150,7 @@
     fn age_ms(&self, partition: u32, spec: &JobSpec) -> u64 {
         let index = usize::try_from(partition).unwrap_or(usize::MAX);
         let read_at = self.jobs_read_at.borrow().get(index).copied();
-        let unread_ms = now().since(read_at.unwrap_or_default().max(self.began_at));
+        let unread_ms = now().since(read_at.unwrap_or_default().max(self.started_at));
         let day = self.node.settings.day_clock.read();
         day.ahead_of(spec.accepted_at_ms).min(unread_ms)
     }
@@ -157,8 +158,8 @@
     fn note_jobs_read(&self, partition: u32, asked_at: Millis) {
         let index = usize::try_from(partition).unwrap_or(usize::MAX);
         let mut read_at = self.jobs_read_at.borrow_mut();
-        if let Some(of_partition) = read_at.get_mut(index) {
-            *of_partition = asked_at;
+        if let Some(partition_read_at) = read_at.get_mut(index) {
+            *partition_read_at = asked_at;
         }
         let oldest = read_at.iter().min().copied().unwrap_or_default();
         self.scheduler.borrow_mut().set_jobs_read(oldest);
@@ -180,7 +181,7 @@
                 let count = u64::try_from(page.records.len()).unwrap_or(0);
                 from = page.first + count;
                 for record in &page.records {
-                    take_worker(&leader, record);
+                    apply_worker_record(&leader, record);
                 }
                 if from >= page.end {
                     leader.apply(Event::WorkersRead { asked_at });
@@ -189,7 +190,7 @@
             Err(ReadError::Gone { .. }) => {
                 if let Ok(newest) = node.newest(Topic::Workers, 0).await {
                     from = newest.read_from;
-                    take_all_workers(&leader, &newest);
+                    apply_worker_list(&leader, &newest);
                 }
             }
             Err(_noted) => {}
@@ -198,17 +199,17 @@
 }
 
 /// Takes the whole list: who is not on it any more is registered no more.
-fn take_all_workers<P>(leader: &Rc<Leader<P>>, newest: &Newest)
+fn apply_worker_list<P>(leader: &Rc<Leader<P>>, newest: &Newest)
 where
     P: Platform,
 {
     let mut listed = BTreeSet::new();
     for (_offset, record) in &newest.records {
-        listed.extend(take_worker(leader, record));
+        listed.extend(apply_worker_record(leader, record));
     }
     for id in leader.roster.ids() {
         if !listed.contains(&id) {
-            leader.unlist_life(id);
+            leader.unlist_incarnation(id);
         }
     }
 }
@@ -218,7 +219,7 @@
 /// The list may have records of another writer. One that can't be read, or names a service that nobody
 /// configured, names no worker to use: nothing new starts there, and what runs there is settled as for any
 /// worker that is listed no more.
-pub(super) fn take_worker<P>(leader: &Rc<Leader<P>>, record: &Record) -> Option<WorkerId>
+pub(super) fn apply_worker_record<P>(leader: &Rc<Leader<P>>, record: &Record) -> Option<WorkerId>
 where
     P: Platform,
 {
--- a/crates/cell/src/leader/waits.rs
+++ b/crates/cell/src/leader/retry_report.rs
@@ -9,42 +9,42 @@
 use crate::ports::Topic;
 
 /// A wait that goes on is told this often.
-const TELL_INTERVAL_MS: u64 = 1_000;
+const REPORT_INTERVAL_MS: u64 = 1_000;
 
 /// Tries of a takeover to get something of a partition.
 #[derive(Debug)]
-pub(crate) struct Waits {
+pub(crate) struct RetryReport {
     pub(crate) topic: Topic,
     pub(crate) partition: u32,
-    pub(crate) tries: u32,
-    began: Millis,
-    told_at: Option<Millis>,
+    pub(crate) attempts: u32,
+    started_at: Millis,
+    last_reported_at: Option<Millis>,
 }
 
-impl Waits {
+impl RetryReport {
     pub(super) fn new(topic: Topic, partition: u32) -> Self {
         Self {
             topic,
             partition,
-            tries: 0,
-            began: now(),
-            told_at: None,
+            attempts: 0,
+            started_at: now(),
+            last_reported_at: None,
         }
     }
 
     /// Takes note that a try failed; the first is told at once.
-    pub(super) fn note<E>(&mut self, token: u64, step: &'static str, error: &E)
+    pub(super) fn report_failure<E>(&mut self, token: u64, step: &'static str, error: &E)
     where
         E: Display,
     {
-        self.tries += 1;
+        self.attempts += 1;
         let now = now();
-        let told_at = self.told_at;
-        if told_at.is_some_and(|at| now.since(at) < TELL_INTERVAL_MS) {
+        let last_reported_at = self.last_reported_at;
+        if last_reported_at.is_some_and(|at| now.since(at) < REPORT_INTERVAL_MS) {
             return;
         }
-        self.told_at = Some(now);
-        let waited_ms = now.since(self.began);
+        self.last_reported_at = Some(now);
+        let waited_ms = now.since(self.started_at);
         log::takeover_waits(token, step, self, waited_ms, error);
     }
 }
--- a/crates/cell/src/leader/roster.rs
+++ b/crates/cell/src/leader/roster.rs
@@ -27,9 +27,9 @@
 pub(super) struct Roster {
     members: RefCell<BTreeMap<WorkerId, Member>>,
     /// The life that the platform's list has of each worker, by the worker's key there.
-    lives: RefCell<BTreeMap<SmolStr, WorkerId>>,
+    incarnations: RefCell<BTreeMap<SmolStr, WorkerId>>,
     /// Number of the latest change.
-    changes: Cell<u64>,
+    latest_change: Cell<u64>,
     /// Number of the latest change that the store has.
     recorded: Cell<u64>,
 }
@@ -52,12 +52,12 @@
 
 impl Roster {
     /// Takes what a predecessor left in the store.
-    pub(super) fn restore<'a, I>(&self, left: I)
+    pub(super) fn restore<'a, I>(&self, stored: I)
     where
         I: IntoIterator<Item = &'a WorkerSpec>,
     {
         let mut members = self.members.borrow_mut();
-        for spec in left {
+        for spec in stored {
             let member = Member {
                 spec: spec.clone(),
                 listed: false,
@@ -107,18 +107,18 @@
     }
 
     /// Takes note of the life that is listed of a worker. Returns the one that was listed before, if it is another.
-    fn note_life(&self, key: &str, id: Option<&WorkerId>) -> Option<WorkerId> {
-        let mut lives = self.lives.borrow_mut();
-        let before = match id {
-            Some(id) => lives.insert(SmolStr::new(key), id.clone()),
-            None => lives.remove(key),
+    fn set_incarnation(&self, key: &str, id: Option<&WorkerId>) -> Option<WorkerId> {
+        let mut incarnations = self.incarnations.borrow_mut();
+        let previous = match id {
+            Some(id) => incarnations.insert(SmolStr::new(key), id.clone()),
+            None => incarnations.remove(key),
         };
-        before.filter(|before| Some(before) != id)
+        previous.filter(|previous| Some(previous) != id)
     }
 
     fn next_change(&self) -> u64 {
-        self.changes.set(self.changes.get() + 1);
-        self.changes.get()
+        self.latest_change.set(self.latest_change.get() + 1);
+        self.latest_change.get()
     }
 
     /// Returns all of its workers.
@@ -127,8 +127,8 @@
     }
 
     /// Returns what the store does not have yet, if there is anything.
-    pub(super) fn change(&self, token: u64) -> Option<RosterChange> {
-        let number = self.changes.get();
+    pub(super) fn pending_change(&self, token: u64) -> Option<RosterChange> {
+        let number = self.latest_change.get();
         if number == self.recorded.get() {
             return None;
         }
@@ -145,12 +145,12 @@
     }
 
     /// Takes note that the store has a change. Returns the workers that may get orders now.
-    fn note_recorded(&self, number: u64) -> Vec<WorkerSpec> {
-        let before = self.recorded.replace(number);
+    fn mark_recorded(&self, number: u64) -> Vec<WorkerSpec> {
+        let previous = self.recorded.replace(number);
         let members = self.members.borrow();
         let added = members
             .values()
-            .filter(|member| member.added_in > before && member.added_in <= number);
+            .filter(|member| member.added_in > previous && member.added_in <= number);
         added.map(|member| member.spec.clone()).collect()
     }
 }
@@ -161,40 +161,40 @@
 {
     /// Takes a worker that is listed under a key; it gets orders once the store has it in the roster.
     pub(super) fn list_worker(self: &Rc<Self>, key: &str, spec: WorkerSpec) {
-        if let Some(before) = self.roster.note_life(key, Some(&spec.id)) {
-            self.unlist_life(before);
+        if let Some(previous) = self.roster.set_incarnation(key, Some(&spec.id)) {
+            self.unlist_incarnation(previous);
         }
         if self.roster.list(&spec) {
             self.apply(Event::WorkerListed(spec));
         } else {
-            self.write.notify_one();
+            self.progress_notify.notify_one();
         }
     }
 
     /// Takes note that no worker is listed under a key.
     pub(super) fn unlist_worker(self: &Rc<Self>, key: &str) {
-        let before = self.roster.note_life(key, None);
+        let previous = self.roster.set_incarnation(key, None);
         // A predecessor may have listed one whose life nobody told.
-        self.unlist_life(before.unwrap_or_else(|| WorkerId::of_life(key, None)));
+        self.unlist_incarnation(previous.unwrap_or_else(|| WorkerId::of_life(key, None)));
     }
 
     /// Takes note that a life of a worker is not listed. Only the first time is news: an entry that can't be used is
     /// written again with every heartbeat of its writer.
-    pub(super) fn unlist_life(self: &Rc<Self>, id: WorkerId) {
+    pub(super) fn unlist_incarnation(self: &Rc<Self>, id: WorkerId) {
         if self.roster.unlist(&id) {
-            self.tell_unlisted(id);
+            self.report_unlisted(id);
         }
     }
 
     /// Tells the scheduler that a worker is not listed.
-    pub(super) fn tell_unlisted(self: &Rc<Self>, id: WorkerId) {
+    pub(super) fn report_unlisted(self: &Rc<Self>, id: WorkerId) {
         log::worker_listed(&id, "unlisted");
         self.apply(Event::WorkerUnlisted(id));
     }
 
     /// Takes note that the store has a change of the roster.
-    pub(super) fn take_recorded(self: &Rc<Self>, change: &RosterChange) {
-        for spec in self.roster.note_recorded(change.number) {
+    pub(super) fn apply_roster_recorded(self: &Rc<Self>, change: &RosterChange) {
+        for spec in self.roster.mark_recorded(change.number) {
             self.apply(Event::WorkerListed(spec));
         }
     }
--- a/crates/cell/src/leader/sessions.rs
+++ b/crates/cell/src/leader/sessions.rs
@@ -11,7 +11,7 @@
 use crate::clock::now;
 use crate::clock::pause;
 use crate::leader::Leader;
-use crate::leader::links::WorkerLink;
+use crate::leader::worker_link::WorkerLink;
 use crate::log;
 use crate::ports::OrderError;
 use crate::ports::Platform;
@@ -26,7 +26,7 @@
 const RETRY_MS: u64 = 60;
 
 /// Longest such wait.
-const RETRY_LIMIT_MS: u64 = 400;
+const MAX_RETRY_MS: u64 = 400;
 
 /// A session with a worker.
 #[derive(Debug)]
@@ -37,7 +37,7 @@
 
 impl Session {
     /// Ends it.
-    pub(super) fn end(&self) {
+    pub(super) fn abort(&self) {
         if let Some(task) = &self.task {
             task.abort();
         }
@@ -65,17 +65,17 @@
             address: spec.address.clone(),
         }));
         // One whose name alone is known can't be asked.
-        let is_known = !link.address.address.is_empty();
+        let has_address = !link.address.address.is_empty();
         let session = renew_leases(Rc::clone(self), worker, Rc::clone(&link));
         let session = Session {
             link,
-            task: is_known.then(|| actix_rt::spawn(session)),
+            task: has_address.then(|| actix_rt::spawn(session)),
         };
         self.sessions.borrow_mut().insert(worker, session);
     }
 
     /// Returns the time that half of the workers are given at most to answer a renewal.
-    pub(super) fn usual_slack_ms(&self) -> u64 {
+    pub(super) fn median_slack_ms(&self) -> u64 {
         let sessions = self.sessions.borrow();
         let slacks_ms = sessions
             .values()
@@ -88,44 +88,45 @@
     /// Returns the time that the answer of a worker to a renewal is given beyond the wait that it asks for.
     fn renewal_slack_ms(&self, link: &WorkerLink) -> u64 {
         let settings = &self.node.settings;
-        let least_ms = settings.timing.renewal_slack_ms;
-        link.patience
-            .renewal_slack_ms(least_ms, settings.lease_ms())
+        let min_slack_ms = settings.timing.renewal_slack_ms;
+        link.answer_timeout
+            .renewal_slack_ms(min_slack_ms, settings.lease_ms())
     }
 
     pub(super) fn detach(&self, worker: WorkerKey) {
         if let Some(session) = self.sessions.borrow_mut().remove(worker) {
             let id = session.worker();
             log::worker_listed(id, "detached");
-            session.end();
+            session.abort();
             self.node
                 .unreadable
                 .forget(Source::WorkerAnswers, id.as_str());
             self.roster.remove(id);
-            self.write.notify_one();
+            self.progress_notify.notify_one();
         }
     }
 
     /// Returns how long the worker may wait for an end before it reports.
     fn renewal_wait_ms(&self, worker: WorkerKey) -> u64 {
-        let usual_ms = self.node.settings.timing.renewal_wait_ms;
-        self.scheduler.borrow().renewal_wait_ms(worker, usual_ms)
+        let default_ms = self.node.settings.timing.renewal_wait_ms;
+        self.scheduler.borrow().renewal_wait_ms(worker, default_ms)
     }
 
     /// Waits for the ends that the worker listed to be written, so that it is told so at once.
     async fn acknowledged_ends(&self, worker: WorkerKey) -> (u64, bool) {
-        let (acknowledged, left) = self.scheduler.borrow_mut().acknowledged_ends(worker);
-        if !left {
-            return (acknowledged, left);
+        let (acknowledged, has_unwritten) = self.scheduler.borrow_mut().acknowledged_ends(worker);
+        if !has_unwritten {
+            return (acknowledged, has_unwritten);
         }
-        let until = now().plus(WRITE_WAIT_MS);
+        let deadline = now().plus(WRITE_WAIT_MS);
         loop {
-            let remaining_ms = until.since(now());
-            let written = self.written.notified();
+            let remaining_ms = deadline.since(now());
+            let written = self.progress_written.notified();
             let waited = tokio::time::timeout(Duration::from_millis(remaining_ms), written).await;
-            let (acknowledged, left) = self.scheduler.borrow_mut().acknowledged_ends(worker);
-            if !left || waited.is_err() {
-                return (acknowledged, left);
+            let (acknowledged, has_unwritten) =
+                self.scheduler.borrow_mut().acknowledged_ends(worker);
+            if !has_unwritten || waited.is_err() {
+                return (acknowledged, has_unwritten);
             }
         }
     }
@@ -141,8 +142,8 @@
     // A worker answers at once as long as it lists an end: one that is not ours has to be forgotten too.
     let mut skipped_end = 0;
     loop {
-        let (mut acknowledged, left) = leader.acknowledged_ends(worker).await;
-        if !left {
+        let (mut acknowledged, has_unwritten) = leader.acknowledged_ends(worker).await;
+        if !has_unwritten {
             acknowledged = acknowledged.max(skipped_end);
         }
         if leader.ended.get() {
@@ -151,13 +152,13 @@
         // A worker that did not answer is only asked: each renewal may arrive, and would put off
         // the time at which its leases have surely lapsed.
         // One that takes no orders is only asked too, where its lease is let lapse on purpose.
-        let is_answering = failures == 0 && link.knows_clock();
+        let is_answering = failures == 0 && link.has_clock_reading();
         let may_renew = is_answering && leader.scheduler.borrow().may_renew(worker);
         let sent_at = now();
         let lease_from = leader.lease_from(sent_at).filter(|_| may_renew);
         let lease_until_ms = lease_from.and_then(|from| link.lease_until_ms(from, lease_ms));
-        let waits = is_answering && !left;
-        let wait_ms = if waits {
+        let may_wait = is_answering && !has_unwritten;
+        let wait_ms = if may_wait {
             leader.renewal_wait_ms(worker)
         } else {
             0
@@ -171,7 +172,7 @@
             wait_ms,
             token: leader.token,
         };
-        let patience = &link.patience;
+        let answer_timeout = &link.answer_timeout;
         let slack_ms = leader.renewal_slack_ms(&link);
         let platform = &leader.node.platform;
         let renewed = platform
@@ -182,14 +183,14 @@
             Ok(renewed) => {
                 failures = 0;
                 skipped_end = renewed.skipped_end;
-                let told_ends = skipped_end > 0 || !renewed.report.ended.is_empty();
-                patience.note_renewal(took_ms, wait_ms, told_ends);
+                let reported_ends = skipped_end > 0 || !renewed.report.ended.is_empty();
+                answer_timeout.record_renewal(took_ms, wait_ms, reported_ends);
                 leader.node.note_skipped(
                     Source::WorkerAnswers,
                     link.address.id.as_str(),
                     &renewed.skipped,
                 );
-                link.note_clock(renewed.clock_ms);
+                link.record_clock(renewed.clock_ms);
                 leader.apply(Event::Renewed {
                     worker,
                     sent_at,
@@ -205,7 +206,7 @@
                 return;
             }
             Err(OrderError::Fenced) => {
-                leader.end("fenced_by_worker");
+                leader.step_down("fenced_by_worker");
                 return;
             }
             Err(error) => {
@@ -213,10 +214,10 @@
                 skipped_end = 0;
                 // What was not sent, or was cut, says nothing of how long an answer takes.
                 if matches!(error, OrderError::InDoubt(_)) && took_ms >= wait_ms + slack_ms {
-                    patience.note(slack_ms);
+                    answer_timeout.record(slack_ms);
                 }
                 leader.apply(Event::RenewalFailed { worker });
-                let wait_ms = (RETRY_MS << failures.min(4)).min(RETRY_LIMIT_MS);
+                let wait_ms = (RETRY_MS << failures.min(4)).min(MAX_RETRY_MS);
                 pause(wait_ms).await;
             }
         }
--- a/crates/cell/src/leader/stages.rs
+++ b/crates/cell/src/leader/stages.rs
@@ -14,7 +14,7 @@
     P: Platform,
 {
     /// Notes how long a job spent in a stage.
-    pub(super) fn measure(&self, job: JobId, stage: Stage, time_ms: u64) {
+    pub(super) fn record_stage(&self, job: JobId, stage: Stage, time_ms: u64) {
         let scheduler = self.scheduler.borrow();
         // A job that is forgotten already has no queue to count it under.
         if let Some(queue) = scheduler.queue_of(job) {
@@ -23,21 +23,23 @@
     }
 
     /// Notes how long a task waited for its first run.
-    pub(super) fn measure_room(&self, order: &StartOrder) {
+    pub(super) fn record_room_stage(&self, order: &StartOrder) {
         if order.run == Run(1) && order.retries == 0 {
-            self.measure(order.task.step.job, Stage::Room, order.ready_ms);
+            self.record_stage(order.task.step.job, Stage::Room, order.ready_ms);
         }
     }
 
     /// Notes the times that the scheduler's notes tell.
-    pub(super) fn measure_note(&self, note: &Note) {
+    pub(super) fn record_note_stages(&self, note: &Note) {
         match note {
             Note::RunEnded {
                 task,
                 held_ms: Some(held_ms),
                 ..
-            } => self.measure(task.step.job, Stage::Run, *held_ms),
-            Note::JobEnded { job, after_ms, .. } => self.measure(*job, Stage::Whole, *after_ms),
+            } => self.record_stage(task.step.job, Stage::Run, *held_ms),
+            Note::JobEnded { job, after_ms, .. } => {
+                self.record_stage(*job, Stage::Whole, *after_ms);
+            }
             _ => {}
         }
     }
--- a/crates/cell/src/leader/load.rs
+++ b/crates/cell/src/leader/takeover.rs
@@ -27,12 +27,12 @@
 use crate::clock::now;
 use crate::clock::pause;
 use crate::leader::Leader;
+use crate::leader::progress_writer::PROGRESS_PARTITIONS;
+use crate::leader::progress_writer::remove_ended_jobs;
+use crate::leader::progress_writer::write_progress;
 use crate::leader::readers;
-use crate::leader::records::PROGRESS_PARTITIONS;
-use crate::leader::records::write_records;
-use crate::leader::records::write_removals;
+use crate::leader::retry_report::RetryReport;
 use crate::leader::vms::write_statuses;
-use crate::leader::waits::Waits;
 use crate::log;
 use crate::log::Loaded;
 use crate::ports::Newest;
@@ -47,30 +47,30 @@
 const RETRY_MS: u64 = 60;
 
 /// Longest time by which a job is taken to have waited longer than another: clocks of VMs differ.
-const AGE_LIMIT_MS: u64 = 600_000;
+const MAX_AGE_DIFFERENCE_MS: u64 = 600_000;
 
 /// What predecessors left.
 #[derive(Debug)]
-struct Left {
+struct StoredState {
     progress: Vec<Newest>,
     jobs: Vec<Newest>,
     workers: Newest,
 }
 
 /// Does all that the role asks for, until it ends.
-pub(super) async fn run<P>(leader: Rc<Leader<P>>)
+pub(super) async fn take_over<P>(leader: Rc<Leader<P>>)
 where
     P: Platform,
 {
-    let began = now();
+    let started_at = now();
     let (is_fenced, ()) = join(leader.fence_progress(), leader.fence_heartbeats()).await;
     if !is_fenced {
         return;
     }
-    let fenced_ms = now().since(began);
-    let left = read_left(&leader).await;
-    let read_ms = now().since(began) - fenced_ms;
-    let progress_records = restore(&leader, &left);
+    let fenced_ms = now().since(started_at);
+    let stored = read_stored_state(&leader).await;
+    let read_ms = now().since(started_at) - fenced_ms;
+    let progress_records = restore_all(&leader, &stored);
     let loaded = Loaded {
         counts: leader.counts(),
         progress_records,
@@ -80,32 +80,32 @@
     log::loaded(leader.token, &loaded);
     leader.spawn(readers::follow_workers(
         Rc::clone(&leader),
-        left.workers.read_from,
+        stored.workers.read_from,
     ));
-    for (partition, newest) in (0..).zip(&left.jobs) {
+    for (partition, newest) in (0..).zip(&stored.jobs) {
         let from = newest.read_from;
         leader.spawn(readers::follow_jobs(Rc::clone(&leader), partition, from));
     }
-    leader.spawn(write_records(Rc::clone(&leader)));
-    leader.spawn(write_removals(Rc::clone(&leader)));
+    leader.spawn(write_progress(Rc::clone(&leader)));
+    leader.spawn(remove_ended_jobs(Rc::clone(&leader)));
     leader.spawn(write_statuses(Rc::clone(&leader)));
     leader.loaded.set(true);
-    leader.take_published();
-    leader.look.notify_one();
-    leader.spawn(Rc::clone(&leader).look_at_waiting());
+    leader.apply_published();
+    leader.schedule_notify.notify_one();
+    leader.spawn(Rc::clone(&leader).run_scheduling());
 }
 
 /// Reads everything at the same time. Predecessors are fenced off, so nothing ends meanwhile.
-async fn read_left<P>(leader: &Leader<P>) -> Left
+async fn read_stored_state<P>(leader: &Leader<P>) -> StoredState
 where
     P: Platform,
 {
     let partitions = leader.node.settings.job_partitions();
     let all_jobs = read_partitions(leader, Topic::Jobs, partitions);
     let all_progress = read_partitions(leader, Topic::Progress, PROGRESS_PARTITIONS);
-    let workers = read_until_there(leader, Topic::Workers, 0);
+    let workers = read_with_retries(leader, Topic::Workers, 0);
     let (progress, workers, jobs) = join3(all_progress, workers, all_jobs).await;
-    Left {
+    StoredState {
         progress,
         jobs,
         workers,
@@ -116,7 +116,7 @@
 where
     P: Platform,
 {
-    let reads = (0..count).map(|partition| read_until_there(leader, topic, partition));
+    let reads = (0..count).map(|partition| read_with_retries(leader, topic, partition));
     join_all(reads).await
 }
 
@@ -125,25 +125,25 @@
 ///
 /// A read without an answer goes on beside the next one, and the first answer counts: a store that was
 /// silent never answers what was sent before it was back.
-async fn read_until_there<P>(leader: &Leader<P>, topic: Topic, partition: u32) -> Newest
+async fn read_with_retries<P>(leader: &Leader<P>, topic: Topic, partition: u32) -> Newest
 where
     P: Platform,
 {
-    let mut waits = Waits::new(topic, partition);
+    let mut retries = RetryReport::new(topic, partition);
     let mut hedge_ms = leader.node.settings.timing.whole_read_hedge_ms;
     let mut reads = FuturesUnordered::new();
     loop {
         reads.push(leader.node.newest(topic, partition));
-        let next_at = pause(hedge_ms);
-        tokio::pin!(next_at);
+        let hedge_at = pause(hedge_ms);
+        tokio::pin!(hedge_at);
         while !reads.is_empty() {
             tokio::select! {
                 biased;
                 Some(read) = reads.next() => match read {
                     Ok(newest) => return newest,
-                    Err(error) => waits.note(leader.token, "read", &error),
+                    Err(error) => retries.report_failure(leader.token, "read", &error),
                 },
-                () = &mut next_at => {
+                () = &mut hedge_at => {
                     hedge_ms += hedge_ms / 2;
                     break;
                 }
@@ -156,79 +156,80 @@
 }
 
 /// Takes everything that was read. Returns the number of jobs whose progress was.
-fn restore<P>(leader: &Rc<Leader<P>>, left: &Left) -> usize
+fn restore_all<P>(leader: &Rc<Leader<P>>, stored: &StoredState) -> usize
 where
     P: Platform,
 {
-    let progress = read_progress(leader, &left.progress);
+    let progress = read_progress(leader, &stored.progress);
     let mut cancelled = BTreeSet::new();
     let mut specs: Vec<JobSpec> = Vec::new();
-    for (partition, newest) in (0..).zip(&left.jobs) {
+    for (partition, newest) in (0..).zip(&stored.jobs) {
         for (_offset, record) in &newest.records {
             match read_job(record) {
-                JobRecord::Submitted(spec) if leader.held_back.has_progress_of(spec.id) => {}
+                JobRecord::Submitted(spec)
+                    if leader.unreadable_jobs.has_unreadable_progress(spec.id) => {}
                 JobRecord::Submitted(spec) => {
-                    leader.note_partition(spec.id, partition);
+                    leader.track_job_partition(spec.id, partition);
                     specs.push(*spec);
                 }
                 JobRecord::Cancelled(id) => {
-                    leader.note_partition(id, partition);
+                    leader.track_job_partition(id, partition);
                     cancelled.insert(id);
                 }
                 JobRecord::Removed => {}
-                JobRecord::Unreadable { key, reason } => leader.hold_back(&key, &reason),
+                JobRecord::Unreadable { key, reason } => leader.mark_spec_unreadable(&key, &reason),
             }
         }
     }
     restore_jobs(leader, specs, &progress);
-    restore_waves(leader, &left.progress);
-    let missing = restore_workers(leader, left);
+    restore_waves(leader, &stored.progress);
+    let unlisted = restore_workers(leader, stored);
     for id in cancelled {
         leader.apply(Event::JobCancelled(id));
     }
     leader.scheduler.borrow_mut().begin_recovery(now());
-    for id in missing {
-        leader.tell_unlisted(id);
+    for id in unlisted {
+        leader.report_unlisted(id);
     }
     progress.len()
 }
 
 /// Takes the workers that are listed, and those that a predecessor may have given work to. Returns
 /// those of the latter that are not listed; they are asked what runs on them all the same.
-fn restore_workers<P>(leader: &Rc<Leader<P>>, left: &Left) -> Vec<WorkerId>
+fn restore_workers<P>(leader: &Rc<Leader<P>>, stored: &StoredState) -> Vec<WorkerId>
 where
     P: Platform,
 {
     // An append in doubt can leave the same roster in both partitions.
-    let (roster, unreadable) = read_roster(leader, &left.progress);
+    let (roster, unreadable) = read_roster(leader, &stored.progress);
     let roster: BTreeMap<_, _> = roster
         .into_iter()
         .map(|spec| (spec.id.clone(), spec))
         .collect();
     leader.roster.restore(roster.values());
     let mut listed = BTreeSet::new();
-    for (_offset, record) in &left.workers.records {
-        listed.extend(readers::take_worker(leader, record));
+    for (_offset, record) in &stored.workers.records {
+        listed.extend(readers::apply_worker_record(leader, record));
     }
-    let mut missing = Vec::new();
+    let mut unlisted = Vec::new();
     for (id, spec) in roster {
         if listed.contains(&id) {
             continue;
         }
-        missing.push(id);
+        unlisted.push(id);
         leader.apply(Event::WorkerListed(spec));
     }
     for key in unreadable {
-        let unknown = unknown_worker(&key);
-        missing.push(unknown.id.clone());
-        leader.apply(Event::WorkerListed(unknown));
+        let placeholder = placeholder_worker(&key);
+        unlisted.push(placeholder.id.clone());
+        leader.apply(Event::WorkerListed(placeholder));
     }
-    missing
+    unlisted
 }
 
 /// Stands for workers whose names can't be read. Like any that does not answer, it has the scheduler wait
 /// until no lease can be left before it starts what may run there.
-fn unknown_worker(key: &str) -> WorkerSpec {
+fn placeholder_worker(key: &str) -> WorkerSpec {
     WorkerSpec {
         id: WorkerId::new(format_smolstr!("unreadable {key}")),
         service: ServiceName::new(""),
@@ -304,10 +305,10 @@
     for id in unreadable {
         let ended = progress
             .get(&id)
-            .is_some_and(|of_job| of_job.state.is_terminal());
+            .is_some_and(|job_progress| job_progress.state.is_terminal());
         if !ended {
             progress.remove(&id);
-            leader.held_back.hold_progress_of(id);
+            leader.unreadable_jobs.mark_progress_unreadable(id);
         }
     }
     progress
@@ -328,13 +329,15 @@
     let newest = specs.iter().map(|spec| spec.accepted_at_ms).max();
     let newest = newest.unwrap_or_default();
     for spec in specs {
-        let of_job = progress.get(&spec.id);
-        if of_job.is_some_and(|of_job| of_job.state.is_terminal()) {
-            leader.drops.borrow_mut().push(spec.id);
+        let job_progress = progress.get(&spec.id);
+        if job_progress.is_some_and(|job_progress| job_progress.state.is_terminal()) {
+            leader.specs_to_remove.borrow_mut().push(spec.id);
             continue;
         }
-        let age_ms = newest.ahead_of(spec.accepted_at_ms).min(AGE_LIMIT_MS);
-        scheduler.restore_job(spec, of_job, age_ms, now);
+        let age_ms = newest
+            .ahead_of(spec.accepted_at_ms)
+            .min(MAX_AGE_DIFFERENCE_MS);
+        scheduler.restore_job(spec, job_progress, age_ms, now);
     }
 }
 
--- a/crates/cell/src/leader/held_back.rs
+++ b/crates/cell/src/leader/unreadable_jobs.rs
@@ -15,31 +15,31 @@
 
 /// The jobs that are held back.
 #[derive(Debug, Default)]
-pub(super) struct HeldBack {
+pub(super) struct UnreadableJobs {
     /// Those whose record can't be read.
     specs: RefCell<BTreeSet<JobId>>,
     /// Those whose progress can't be read.
     progress: RefCell<BTreeSet<JobId>>,
 }
 
-impl HeldBack {
+impl UnreadableJobs {
     /// Says whether a job is held back.
-    pub(super) fn has(&self, id: JobId) -> bool {
-        self.specs.borrow().contains(&id) || self.has_progress_of(id)
+    pub(super) fn contains(&self, id: JobId) -> bool {
+        self.specs.borrow().contains(&id) || self.has_unreadable_progress(id)
     }
 
     /// Says whether what was done of a job is not known.
-    pub(super) fn has_progress_of(&self, id: JobId) -> bool {
+    pub(super) fn has_unreadable_progress(&self, id: JobId) -> bool {
         self.progress.borrow().contains(&id)
     }
 
     /// Takes note that what was done of a job is not known.
-    pub(super) fn hold_progress_of(&self, id: JobId) {
+    pub(super) fn mark_progress_unreadable(&self, id: JobId) {
         self.progress.borrow_mut().insert(id);
     }
 
     /// Takes note that the record of a job can be read, or is gone.
-    pub(super) fn take_spec(&self, id: JobId) {
+    pub(super) fn mark_spec_readable(&self, id: JobId) {
         self.specs.borrow_mut().remove(&id);
     }
 }
@@ -49,10 +49,10 @@
     P: Platform,
 {
     /// Takes note of a record of a job that can't be read.
-    pub(super) fn hold_back(&self, key: &str, reason: &str) {
+    pub(super) fn mark_spec_unreadable(&self, key: &str, reason: &str) {
         self.node.note_unreadable(Source::Jobs, key, reason);
         if let Ok(id) = key.parse() {
-            self.held_back.specs.borrow_mut().insert(id);
+            self.unreadable_jobs.specs.borrow_mut().insert(id);
         }
     }
 }
--- a/crates/cell/src/leader/vms.rs
+++ b/crates/cell/src/leader/vms.rs
@@ -13,7 +13,7 @@
 use crate::clock::now;
 use crate::clock::pause;
 use crate::leader::Leader;
-use crate::leader::orders::ANOTHER_MAY_BE_CHOSEN;
+use crate::leader::orders::POSSIBLY_SUPERSEDED;
 use crate::log;
 use crate::ports::AppendError;
 use crate::ports::ListError;
@@ -34,32 +34,32 @@
 const CALL_TIMEOUT_MS: u64 = 1_000;
 
 /// Most parts of a list of VMs: far beyond what a cell has.
-const PAGES_LIMIT: usize = 200;
+const MAX_PAGES: usize = 200;
 
 impl<P> Leader<P>
 where
     P: Platform,
 {
     /// Takes a wave that operators published.
-    pub(crate) fn take_wave(self: &Rc<Self>, wave: Wave, age_ms: u64) {
+    pub(crate) fn apply_wave(self: &Rc<Self>, wave: Wave, age_ms: u64) {
         if self.loaded.get() {
             self.apply(Event::WavePublished { wave, age_ms });
         }
     }
 
     /// Takes the services that are on standby by the configuration in force.
-    pub(crate) fn take_standby(self: &Rc<Self>) {
+    pub(crate) fn apply_standby(self: &Rc<Self>) {
         let configuration = self.node.configuration();
         let standby = configuration.map(|configuration| configuration.standby.clone());
         self.apply(Event::StandbySet(standby.unwrap_or_default()));
     }
 
     /// Takes everything that operators published before this node became the scheduler.
-    pub(super) fn take_published(self: &Rc<Self>) {
-        self.take_standby();
+    pub(super) fn apply_published(self: &Rc<Self>) {
+        self.apply_standby();
         let waves = self.node.waves.borrow().clone();
         for seen in waves {
-            self.take_wave(seen.wave, now().since(seen.seen_at));
+            self.apply_wave(seen.wave, now().since(seen.seen_at));
         }
     }
 
@@ -78,7 +78,7 @@
     async fn read_vms(&self) -> Result<Vec<VmInfo>, ListError> {
         let mut vms = Vec::new();
         let mut from = None;
-        for _ in 0..PAGES_LIMIT {
+        for _ in 0..MAX_PAGES {
             let platform = &self.node.platform;
             let page = platform.list_vms(from.as_deref(), CALL_TIMEOUT_MS).await?;
             self.node.note_skipped(Source::Vms, "list", &page.skipped);
@@ -111,12 +111,12 @@
             platform.order_vm(&command, CALL_TIMEOUT_MS).await
         } else {
             // A successor may have given orders about the VM: one of an earlier scheduler must not come after them.
-            Err(VmOrderError::InDoubt(ANOTHER_MAY_BE_CHOSEN))
+            Err(VmOrderError::InDoubt(POSSIBLY_SUPERSEDED))
         };
         let answer = match &ordered {
             Ok(()) => DutyAnswer::Done,
             Err(VmOrderError::Fenced) => {
-                self.end("fenced_by_platform");
+                self.step_down("fenced_by_platform");
                 return;
             }
             Err(VmOrderError::Busy) => DutyAnswer::Busy,
@@ -132,17 +132,17 @@
     }
 
     /// Has operators told how far a wave is.
-    pub(super) fn tell_wave(&self, wave: u64, completed: bool) {
+    pub(super) fn queue_wave_status(&self, wave: u64, completed: bool) {
         log::wave_told(wave, completed);
         let record = self.node.platform.wave_status(wave, completed);
         self.statuses.borrow_mut().push_back(record);
-        self.tell.notify_one();
+        self.status_notify.notify_one();
     }
 
     /// Appends one record until the store has it. Says whether it has.
     async fn append_status(&self, record: &Record, sequence: &mut u64) -> bool {
         loop {
-            let condition = self.fenced(PRODUCER, *sequence);
+            let condition = self.producer_condition(PRODUCER, *sequence);
             let appended = self
                 .node
                 .append(Topic::Status, 0, std::slice::from_ref(record), &condition)
@@ -153,7 +153,7 @@
                     return true;
                 }
                 Err(AppendError::Fenced) => {
-                    self.end("fenced_by_store");
+                    self.step_down("fenced_by_store");
                     return false;
                 }
                 Err(AppendError::OutOfSequence { expected }) => *sequence = expected,
@@ -173,7 +173,7 @@
     loop {
         let next = leader.statuses.borrow().front().cloned();
         let Some(record) = next else {
-            leader.tell.notified().await;
+            leader.status_notify.notified().await;
             continue;
         };
         if !leader.append_status(&record, &mut sequence).await {
--- a/crates/cell/src/leader/links.rs
+++ b/crates/cell/src/leader/worker_link.rs
@@ -10,18 +10,18 @@
 
 use crate::clock::now;
 use crate::clock::pause;
-use crate::leader::patience::Patience;
+use crate::leader::adaptive_timeout::AdaptiveTimeout;
 use crate::ports::OrderError;
 use crate::ports::WorkerAddress;
 
 /// Starts under way at one worker: each takes a connection, and workers bound those that they take.
-const STARTS_AT_ONCE: usize = 3;
+const MAX_CONCURRENT_STARTS: usize = 3;
 
 /// Other orders under way at one worker: what ends a run never waits behind starts.
-const CONTROLS_AT_ONCE: usize = 2;
+const MAX_CONCURRENT_CONTROLS: usize = 2;
 
 /// An order that found no connection free looks for one again after this time.
-const CONNECTION_WAIT_MS: u64 = 30;
+const CONNECTION_RETRY_MS: u64 = 30;
 
 /// What an order does.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -44,7 +44,7 @@
 pub(super) struct WorkerLink {
     pub(super) address: WorkerAddress,
     /// For how long its answers are waited for.
-    pub(super) patience: Patience,
+    pub(super) answer_timeout: AdaptiveTimeout,
     /// The worker's clock, as last read.
     clock: Cell<Option<ClockReading>>,
     starts: Semaphore,
@@ -55,15 +55,15 @@
     pub(super) fn new(address: WorkerAddress) -> Self {
         Self {
             address,
-            patience: Patience::default(),
+            answer_timeout: AdaptiveTimeout::default(),
             clock: Cell::new(None),
-            starts: Semaphore::new(STARTS_AT_ONCE),
-            controls: Semaphore::new(CONTROLS_AT_ONCE),
+            starts: Semaphore::new(MAX_CONCURRENT_STARTS),
+            controls: Semaphore::new(MAX_CONCURRENT_CONTROLS),
         }
     }
 
     /// Takes note of what the worker's clock has just shown.
-    pub(super) fn note_clock(&self, clock_ms: u64) {
+    pub(super) fn record_clock(&self, clock_ms: u64) {
         self.clock.set(Some(ClockReading {
             clock_ms,
             read_at: now(),
@@ -71,7 +71,7 @@
     }
 
     /// Says whether the worker's clock was read.
-    pub(super) const fn knows_clock(&self) -> bool {
+    pub(super) const fn has_clock_reading(&self) -> bool {
         self.clock.get().is_some()
     }
 
@@ -86,9 +86,9 @@
     }
 
     /// Counts the orders that have a place.
-    pub(super) fn under_way(&self) -> usize {
+    pub(super) fn orders_in_flight(&self) -> usize {
         let free = self.starts.available_permits() + self.controls.available_permits();
-        (STARTS_AT_ONCE + CONTROLS_AT_ONCE).saturating_sub(free)
+        (MAX_CONCURRENT_STARTS + MAX_CONCURRENT_CONTROLS).saturating_sub(free)
     }
 
     /// Sends an order once a place and a connection are free, and waits for its answer, at least for the time that a
@@ -100,42 +100,42 @@
     pub(super) async fn send<F>(
         &self,
         kind: OrderKind,
-        least_ms: u64,
+        min_timeout_ms: u64,
         call: F,
     ) -> Result<(), OrderError>
     where
         F: AsyncFn(u64) -> Result<(), OrderError>,
     {
-        let timeout_ms = self.patience.timeout_ms(least_ms);
+        let timeout_ms = self.answer_timeout.timeout_ms(min_timeout_ms);
         let wait_until = now().plus(timeout_ms);
-        let _place = self.place(kind, timeout_ms).await?;
+        let _permit = self.acquire_permit(kind, timeout_ms).await?;
         let mut sent_at = now();
         let mut outcome = call(timeout_ms).await;
         // One is free once another order has its answer, or may be opened soon.
         while matches!(outcome, Err(OrderError::NoConnection(_))) && now() < wait_until {
-            pause(CONNECTION_WAIT_MS).await;
+            pause(CONNECTION_RETRY_MS).await;
             sent_at = now();
             outcome = call(timeout_ms).await;
         }
         // Orders without an answer may be lost: renewals tell how late answers are.
         if matches!(outcome, Ok(()) | Err(OrderError::Refused(_))) {
-            self.patience.note(now().since(sent_at));
+            self.answer_timeout.record(now().since(sent_at));
         }
         outcome
     }
 
-    async fn place(
+    async fn acquire_permit(
         &self,
         kind: OrderKind,
-        limit_ms: u64,
+        timeout_ms: u64,
     ) -> Result<SemaphorePermit<'_>, OrderError> {
-        let places = match kind {
+        let permits = match kind {
             OrderKind::Start => &self.starts,
             OrderKind::Control => &self.controls,
         };
-        let limit = Duration::from_millis(limit_ms);
-        match tokio::time::timeout(limit, places.acquire()).await {
-            Ok(Ok(place)) => Ok(place),
+        let timeout = Duration::from_millis(timeout_ms);
+        match tokio::time::timeout(timeout, permits.acquire()).await {
+            Ok(Ok(permit)) => Ok(permit),
             Ok(Err(_)) | Err(_) => Err(OrderError::NotSent(SmolStr::new_static(
                 "others to the worker were under way for too long",
             ))),
--- a/crates/cell/src/log.rs
+++ b/crates/cell/src/log.rs
@@ -24,7 +24,7 @@
 
 use crate::Configuration;
 use crate::NodeSettings;
-use crate::leader::waits::Waits;
+use crate::leader::retry_report::RetryReport;
 use crate::node::Holder;
 use crate::ports::AdviceError;
 use crate::ports::AppendError;
@@ -152,7 +152,7 @@
 pub(crate) fn takeover_waits<E>(
     token: u64,
     step: &'static str,
-    waits: &Waits,
+    retries: &RetryReport,
     waited_ms: u64,
     error: &E,
 ) where
@@ -161,9 +161,9 @@
     Line::new(catalogue::TAKEOVER_WAITS)
         .number("token", token)
         .text("step", step)
-        .text("topic", waits.topic.as_str())
-        .number("partition", waits.partition)
-        .number("tries", waits.tries)
+        .text("topic", retries.topic.as_str())
+        .number("partition", retries.partition)
+        .number("tries", retries.attempts)
         .number("waited_ms", waited_ms)
         .display("reason", error)
         .emit();
--- a/crates/cell/src/node.rs
+++ b/crates/cell/src/node.rs
@@ -263,10 +263,10 @@
     loop {
         pause(node.settings.timing.tick_ms).await;
         if let Some(leader) = node.leader() {
-            leader.follow_day();
+            leader.update_day();
             leader.apply(Event::Ticked);
-            leader.renew_proof();
-            leader.watch_self();
+            leader.request_proof();
+            leader.hand_over_if_isolated();
         }
         flush_lines();
     }
--- a/crates/cell/src/queries.rs
+++ b/crates/cell/src/queries.rs
@@ -79,7 +79,7 @@
         let until = now().plus(LIMIT_MS);
         loop {
             let answer = match self.leader() {
-                Some(leader) => leader.state(id),
+                Some(leader) => leader.job_state(id),
                 None => self.ask_state(id).await,
             };
             if answer != StateAnswer::Unsure || now() >= until || self.stopping.get() {
@@ -94,7 +94,7 @@
         let until = now().plus(LIMIT_MS);
         loop {
             let answer = match self.leader() {
-                Some(leader) => leader.pending(queue),
+                Some(leader) => leader.pending_jobs(queue),
                 None => self.ask_pending(queue).await,
             };
             if answer != PendingAnswer::Unsure || now() >= until || self.stopping.get() {
@@ -136,7 +136,9 @@
     P: Platform,
 {
     let leader = node.leader();
-    let answer = leader.map_or(StateAnswer::Unsure, |leader| leader.state(JobId(query.job)));
+    let answer = leader.map_or(StateAnswer::Unsure, |leader| {
+        leader.job_state(JobId(query.job))
+    });
     let mut reply = StateReplyCell::default();
     reply.set_knowledge(answer.into());
     CellBody::StateReply(reply)
@@ -148,7 +150,9 @@
     P: Platform,
 {
     let leader = node.leader();
-    let answer = leader.map_or(PendingAnswer::Unsure, |leader| leader.pending(&query.queue));
+    let answer = leader.map_or(PendingAnswer::Unsure, |leader| {
+        leader.pending_jobs(&query.queue)
+    });
     let reply = match answer {
         PendingAnswer::Known(jobs) => PendingReply { known: true, jobs },
         PendingAnswer::Unsure => PendingReply::default(),
--- a/crates/cell/src/store_calls.rs
+++ b/crates/cell/src/store_calls.rs
@@ -6,7 +6,7 @@
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
 use smol_str::SmolStr;
-use syc_admit::Pace;
+use syc_admit::LatencyEstimate;
 use syc_types::Millis;
 
 use crate::Node;
@@ -61,10 +61,10 @@
     last_failure_at: Cell<Millis>,
     last_answer_at: Cell<Millis>,
     /// How long appends take, but for those of jobs: admission keeps the pace of these.
-    pace: Cell<Pace>,
+    pace: Cell<LatencyEstimate>,
     /// How long the calls took that were answered. Unlike the pace, it says nothing of those that were not: a store
     /// that is away is not slow.
-    answers_took: Cell<Pace>,
+    answers_took: Cell<LatencyEstimate>,
     /// When the latest of the calls that were answered had been sent, but for reads that may wait.
     answered_sent_at: Cell<Millis>,
 }
@@ -76,8 +76,8 @@
             answers: Cell::new(true),
             last_failure_at: Cell::new(began),
             last_answer_at: Cell::new(began),
-            pace: Cell::new(Pace::new(FIRST_USUAL_MS)),
-            answers_took: Cell::new(Pace::new(0)),
+            pace: Cell::new(LatencyEstimate::new(FIRST_USUAL_MS)),
+            answers_took: Cell::new(LatencyEstimate::new(0)),
             answered_sent_at: Cell::new(began),
         }
     }
@@ -90,32 +90,32 @@
         }
         self.answered_sent_at.set(sent_at);
         let mut took = self.answers_took.get();
-        took.took(now().since(sent_at));
+        took.record(now().since(sent_at));
         self.answers_took.set(took);
     }
 
     /// Returns the time that a call is given which a sound store answers within the least.
     fn limit_ms(&self, least_ms: u64) -> u64 {
-        let by_answers = self.answers_took.get().usual_ms() * SLOW_FACTOR;
+        let by_answers = self.answers_took.get().estimate_ms() * SLOW_FACTOR;
         by_answers.min(TIMEOUT_MOST_MS).max(least_ms)
     }
 
     fn took(&self, sent_at: Millis) {
         self.note_answer(sent_at);
         let mut pace = self.pace.get();
-        pace.took(now().since(sent_at));
+        pace.record(now().since(sent_at));
         self.pace.set(pace);
     }
 
     fn got_none(&self) {
         let mut pace = self.pace.get();
-        pace.got_none();
+        pace.record_timeout();
         self.pace.set(pace);
     }
 
     /// Returns the time that an append takes.
     const fn append_ms(&self) -> u64 {
-        self.pace.get().usual_ms()
+        self.pace.get().estimate_ms()
     }
 
     /// Returns when the latest of the calls that were answered had been sent, but for reads that may wait.
--- a/crates/cell/tests/cell/roster.rs
+++ b/crates/cell/tests/cell/roster.rs
@@ -33,7 +33,7 @@
 #[test_case(1)]
 #[test_case(200)]
 #[test_case(450)]
-fn a_roster_is_read_as_it_was_written(workers: usize) {
+fn a_roster_round_trips(workers: usize) {
     let written = roster_of(workers, 7, 1);
     let records = roster(&written);
     assert!(records.iter().all(|record| record.value.len() < 64 * 1024));
@@ -42,7 +42,7 @@
 
 #[test_case(7, 2; "a later change")]
 #[test_case(8, 1; "a later scheduler")]
-fn what_an_older_roster_leaves_counts_no_more(token: u64, change: u64) {
+fn leftover_parts_of_an_older_roster_are_ignored(token: u64, change: u64) {
     let older = roster(&roster_of(450, 7, 1));
     let newer = roster(&roster_of(3, token, change));
     // The store keeps the newest record of each key: what the newer one has fewer parts stays.
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_part_that_cannot_be_read_is_told() {
+fn an_unreadable_part_is_reported() {
     let mut records = roster(&roster_of(1, 7, 1));
     records[0].value = b"{".to_vec().into();
     let (workers, unreadable) = read_roster(&records);
--- a/crates/cell/tests/cell/stages.rs
+++ b/crates/cell/tests/cell/stages.rs
@@ -14,7 +14,7 @@
 #[test_case("run")]
 #[test_case("write")]
 #[test_case("whole")]
-fn each_stage_of_a_job_is_measured(stage: &str) {
+fn each_stage_of_a_job_is_reported_in_the_metrics(stage: &str) {
     let cluster = Cluster::start(1, 1);
     let node = cluster.scheduler();
     cluster.submit(node, 1, vec![step(1, 20)]);
--- a/crates/cell/tests/cell/takeover.rs
+++ b/crates/cell/tests/cell/takeover.rs
@@ -20,7 +20,7 @@
 use crate::cluster::step;
 
 #[test]
-fn work_goes_on_when_the_scheduler_is_killed() {
+fn jobs_complete_after_the_scheduler_is_killed() {
     let mut cluster = Cluster::start(3, 2);
     let first = cluster.scheduler();
     for id in 1..=6 {
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_planned_stop_hands_the_role_on() {
+fn a_planned_stop_hands_over_the_scheduler_role() {
     let cluster = Cluster::start(3, 2);
     let first = cluster.scheduler();
     cluster.submit(first, 1, vec![step(4, 1_000)]);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn accepted_jobs_outlast_the_end_of_all_nodes() {
+fn accepted_jobs_survive_the_loss_of_all_nodes() {
     let mut cluster = Cluster::start(2, 2);
     cluster.scheduler();
     cluster.submit(0, 1, vec![step(2, 20)]);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_successor_asks_a_worker_that_is_missing_from_the_list() {
+fn a_successor_queries_a_worker_missing_from_the_list() {
     let mut cluster = Cluster::start(2, 2);
     let first = cluster.scheduler();
     cluster.submit(first, 1, vec![step(1, 20)]);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_scheduler_that_hears_neither_the_store_nor_another_node_gives_up() {
+fn a_scheduler_isolated_from_the_store_and_all_nodes_steps_down() {
     let mut cluster = Cluster::start(2, 1);
     let first = cluster.scheduler();
     let other = 1 - first;
@@ -120,8 +120,8 @@
         ..SharedFaults::default()
     });
     cluster.wait("the end of the role", || {
-        let leads = cluster.on(first, |node| async move { node.is_scheduler() });
-        (!leads).then_some(())
+        let is_scheduler = cluster.on(first, |node| async move { node.is_scheduler() });
+        (!is_scheduler).then_some(())
     });
     cluster.platform.set_faults(SharedFaults::default());
     cluster.submit(first, 2, vec![step(1, 20)]);
@@ -130,21 +130,22 @@
 }
 
 #[test]
-fn a_node_with_a_thin_link_leaves_others_to_claim_first() {
+fn a_node_with_low_bandwidth_lets_others_claim_first() {
     let peers = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let ample = settings(0, &peers);
-    let thin = NodeSettings {
+    let high_bandwidth = settings(0, &peers);
+    let low_bandwidth = NodeSettings {
         link_mbps: 10.0,
-        ..ample.clone()
+        ..high_bandwidth.clone()
     };
-    let latest_of_ample_ms = ample.claim_delay_ms() + ample.timing.claim_spread_ms;
-    assert!(thin.claim_delay_ms() > 2 * latest_of_ample_ms);
+    let latest_high_bandwidth_claim_ms =
+        high_bandwidth.claim_delay_ms() + high_bandwidth.timing.claim_spread_ms;
+    assert!(low_bandwidth.claim_delay_ms() > 2 * latest_high_bandwidth_claim_ms);
 }
 
 /// All nodes wait for the first configuration. Once it is there, one with a thin link was as likely to be chosen as
 /// any: what it reads and writes as the scheduler then took several times as long as the store needed.
 #[test]
-fn a_node_with_an_ample_link_is_chosen_when_the_first_configuration_comes() {
+fn a_node_with_high_bandwidth_is_chosen_on_the_first_configuration() {
     let timing = Timing {
         thin_link_delay_ms: 3_000,
         ..Timing::default()
@@ -158,7 +159,7 @@
 }
 
 #[test]
-fn a_node_that_joins_later_serves_and_can_take_over() {
+fn a_node_that_joins_later_accepts_jobs_and_can_take_over() {
     let mut cluster = Cluster::start(1, 2);
     let first = cluster.scheduler();
     cluster.submit(first, 1, vec![step(2, 1_500)]);
@@ -175,7 +176,7 @@
 /// A heartbeat that was carried out and not answered has the number that the next append would get: a release
 /// under that number is never seen, and the others wait until the silence is long enough.
 #[test]
-fn a_role_that_is_handed_on_while_a_heartbeat_is_unanswered_is_free_at_once() {
+fn a_release_takes_effect_at_once_while_a_heartbeat_is_unanswered() {
     let timing = Timing {
         silence_ms: 600_000,
         gone_silence_ms: 600_000,
@@ -187,13 +188,15 @@
         lost_appends: 1_000,
         ..SharedFaults::default()
     });
-    let signs = || {
+    let heartbeats_stored = || {
         cluster
             .platform
             .with_store(|store| store.newest(Topic::Holders, 0).read_from)
     };
-    let before = signs();
-    cluster.wait("a heartbeat", || (signs() > before).then_some(()));
+    let before = heartbeats_stored();
+    cluster.wait("a heartbeat", || {
+        (heartbeats_stored() > before).then_some(())
+    });
     cluster.on(first, |node| async move {
         node.begin_stop(now().plus(5_000)).await;
     });
--- a/crates/cell/tests/cell/vms.rs
+++ b/crates/cell/tests/cell/vms.rs
@@ -48,13 +48,13 @@
 
 fn wait_until_completed(cluster: &Cluster) {
     cluster.wait("the wave to be completed", || {
-        let told = cluster.platform.wave_told(WAVE)?;
-        (told == "completed").then_some(())
+        let status = cluster.platform.wave_told(WAVE)?;
+        (status == "completed").then_some(())
     });
 }
 
 #[test]
-fn a_wave_is_told_as_running_and_completed_once_every_vm_had_its_upkeep() {
+fn a_wave_is_reported_as_running_and_then_completed_once_every_vm_had_its_upkeep() {
     let cluster = cluster_on_vms(3);
     cluster.scheduler();
     cluster.platform.publish_wave(wave(3));
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_successor_goes_on_with_a_wave_and_takes_no_vm_down_twice() {
+fn a_successor_resumes_a_wave_and_takes_no_vm_down_twice() {
     let mut cluster = cluster_on_vms(4);
     let first = cluster.scheduler();
     cluster.platform.publish_wave(wave(4));
@@ -80,14 +80,14 @@
 }
 
 #[test]
-fn work_goes_on_through_a_wave() {
+fn jobs_complete_during_a_wave() {
     let cluster = cluster_on_vms(3);
     let node = cluster.scheduler();
-    let saved = StepSpec {
+    let checkpointed_step = StepSpec {
         checkpointed: true,
         ..step(6, 3_000)
     };
-    cluster.submit(node, 1, vec![saved]);
+    cluster.submit(node, 1, vec![checkpointed_step]);
     cluster.wait_for_state(node, 1, JobState::Running);
     cluster.platform.publish_wave(wave(3));
     wait_until_completed(&cluster);
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn vms_on_standby_come_where_room_is_lacking() {
+fn standby_vms_are_added_when_capacity_is_short() {
     let cluster = cluster_on_vms(1);
     for index in 1..4 {
         let pool = ServiceName::new(STANDBY);
@@ -112,8 +112,8 @@
     cluster.wait("a VM to come", || {
         cluster.platform.with_vms(|vms| {
             let pools = (1..4).filter_map(|index| vms.pool_of(&vm(index)));
-            let here = pools.filter(|pool| pool.as_str() == QUEUE);
-            (here.count() > 0).then_some(())
+            let added = pools.filter(|pool| pool.as_str() == QUEUE);
+            (added.count() > 0).then_some(())
         })
     });
     cluster.wait_for_state(node, 1, JobState::Completed);
--- a/crates/cell/tests/cell/workers.rs
+++ b/crates/cell/tests/cell/workers.rs
@@ -27,7 +27,7 @@
 
 /// A worker that crashed is another incarnation when it is back: what ran on the first is over.
 #[test]
-fn tasks_of_a_worker_that_was_replaced_start_on_its_next_incarnation() {
+fn tasks_of_a_crashed_worker_restart_on_its_next_incarnation() {
     let cluster = Cluster::start(2, 1);
     let node = cluster.scheduler();
     cluster.submit(node, 1, vec![step(2, 1_000)]);
@@ -45,7 +45,7 @@
 
 /// A successor that leaves out a worker because of its entry never learns what runs there.
 #[test]
-fn a_worker_whose_entry_turns_unreadable_gets_nothing_new_and_is_still_asked() {
+fn a_successor_queries_a_worker_with_an_unreadable_entry_but_starts_nothing_there() {
     let mut cluster = Cluster::start(2, 1);
     let first = cluster.scheduler();
     cluster.submit(first, 1, vec![step(1, 3_000)]);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_worker_whose_entry_turns_unreadable_ends_what_it_runs_and_gets_nothing_new() {
+fn a_worker_with_an_unreadable_entry_finishes_its_tasks_and_gets_no_new_ones() {
     let cluster = Cluster::start(2, 1);
     let node = cluster.scheduler();
     // Longer than a lease: it is renewed all the while.
@@ -98,7 +98,7 @@
 
 /// Its tasks start again only where they surely run no more; the judge sees one that runs twice.
 #[test]
-fn what_runs_on_a_worker_that_falls_silent_behind_an_unreadable_entry_outlasts_its_lease_first() {
+fn tasks_of_a_silent_worker_with_an_unreadable_entry_restart_only_after_its_lease() {
     let cluster = Cluster::start(2, 1);
     let node = cluster.scheduler();
     cluster.submit(node, 1, vec![step(2, 600_000)]);
@@ -123,7 +123,7 @@
 
 /// It answers renewals all the while. A node that asked it again without any wait sent it a thousand a second.
 #[test]
-fn tasks_of_a_worker_that_resets_orders_run_elsewhere_once_its_lease_was_let_lapse() {
+fn tasks_of_a_worker_that_resets_orders_run_elsewhere_after_its_lease() {
     let cluster = Cluster::start(2, 2);
     let resetting = worker(0).id;
     cluster.platform.set_faults(SharedFaults {
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn a_worker_of_a_service_that_is_not_configured_is_not_asked() {
+fn workers_of_unconfigured_services_are_not_queried() {
     let mut cluster = Cluster::start(2, 1);
     cluster.platform.publish(Configuration {
         services: vec![worker(0).service],
@@ -167,7 +167,7 @@
 
 /// Renewals and orders were given up before their answers came, so that each worker counted as silent for good.
 #[test]
-fn workers_that_answer_everything_late_are_given_work() {
+fn workers_that_answer_late_still_get_tasks() {
     let cluster = Cluster::start(2, 2);
     cluster.platform.set_faults(SharedFaults {
         late_worker_answers_ms: 1_500,
@@ -181,7 +181,7 @@
 /// It was taken as not sent, its run as ended, and its worker got nothing for a while: what a worker that is slow to
 /// answer was given was given up over and over.
 #[test]
-fn a_start_that_finds_no_connection_free_waits_for_one() {
+fn a_start_waits_for_a_free_connection() {
     let cluster = Cluster::start(2, 1);
     let node = cluster.scheduler();
     cluster
--- a/crates/retry/src/backoff.rs
+++ b/crates/retry/src/backoff.rs
@@ -5,14 +5,14 @@
 use rand::rngs::SmallRng;
 
 /// Most times that a wait doubles; each limit is reached long before.
-const DOUBLINGS_LIMIT: u32 = 16;
+const MAX_DOUBLINGS: u32 = 16;
 
 /// Returns the wait before a repeat: it doubles with each one up to a limit, and half of it is jitter, which
 /// `seed` decides.
 #[must_use]
-pub fn backoff_ms(base_ms: u64, limit_ms: u64, repeats: u32, seed: u64) -> u64 {
-    let doubled_ms = base_ms.saturating_mul(1 << repeats.min(DOUBLINGS_LIMIT));
-    let half_ms = doubled_ms.min(limit_ms) / 2;
-    let mut rng = SmallRng::seed_from_u64(seed ^ u64::from(repeats));
+pub fn backoff_ms(base_ms: u64, max_ms: u64, attempt: u32, seed: u64) -> u64 {
+    let doubled_ms = base_ms.saturating_mul(1 << attempt.min(MAX_DOUBLINGS));
+    let half_ms = doubled_ms.min(max_ms) / 2;
+    let mut rng = SmallRng::seed_from_u64(seed ^ u64::from(attempt));
     half_ms + rng.random_range(0..=half_ms)
 }
--- a/crates/retry/src/budget.rs
+++ b/crates/retry/src/budget.rs
@@ -3,58 +3,63 @@
 use syc_types::Millis;
 
 /// One token, in the unit in which tokens are counted.
-const TOKEN: u64 = 1_000;
+const UNITS_PER_TOKEN: u64 = 1_000;
 
 /// A token bucket that pays for repeats: it fills with time, and with each success.
 #[derive(Debug, Clone, Copy)]
 pub struct Budget {
     burst: u64,
-    per_s: u64,
+    refill_per_s: u64,
     /// In thousandths of a token.
-    left: u64,
-    filled_at: Millis,
+    tokens: u64,
+    refilled_at: Millis,
 }
 
 impl Budget {
     /// Makes a full bucket of so many tokens that gets so many back a second.
     #[must_use]
-    pub const fn new(burst: u64, per_s: u64) -> Self {
+    pub const fn new(burst: u64, refill_per_s: u64) -> Self {
         Self {
             burst,
-            per_s,
-            left: burst * TOKEN,
-            filled_at: Millis(0),
+            refill_per_s,
+            tokens: burst * UNITS_PER_TOKEN,
+            refilled_at: Millis(0),
         }
     }
 
     /// Says whether a token is left.
-    pub fn has_one(&mut self, now: Millis) -> bool {
-        let filled = now.since(self.filled_at).saturating_mul(self.per_s);
-        self.filled_at = now;
-        self.add(filled);
-        self.left >= TOKEN
+    pub fn has_token(&mut self, now: Millis) -> bool {
+        let refilled = now
+            .since(self.refilled_at)
+            .saturating_mul(self.refill_per_s);
+        self.refilled_at = now;
+        self.add(refilled);
+        self.tokens >= UNITS_PER_TOKEN
     }
 
     /// Takes a token if one is left, and says whether one was.
     pub fn take(&mut self, now: Millis) -> bool {
-        let has_one = self.has_one(now);
-        if has_one {
-            self.left -= TOKEN;
+        let has_token = self.has_token(now);
+        if has_token {
+            self.tokens -= UNITS_PER_TOKEN;
         }
-        has_one
+        has_token
     }
 
     /// Gives a token back.
-    pub fn give(&mut self) {
-        self.add(TOKEN);
+    pub fn refund(&mut self) {
+        self.add(UNITS_PER_TOKEN);
     }
 
     /// Gives a part of a token back, in thousandths.
-    pub fn give_per_mille(&mut self, per_mille: u64) {
+    pub fn refund_per_mille(&mut self, per_mille: u64) {
         self.add(per_mille);
     }
 
-    fn add(&mut self, tokens: u64) {
-        self.left = self.left.saturating_add(tokens).min(self.burst * TOKEN);
+    fn add(&mut self, amount: u64) {
+        self.tokens = self
+            .tokens
+            .saturating_add(amount)
+            .min(self.burst * UNITS_PER_TOKEN);
     }
 }
--- a/crates/retry/src/lib.rs
+++ b/crates/retry/src/lib.rs
@@ -4,10 +4,10 @@
 //! All are of the published forms: the estimator of Jacobson and Karels (RFC 6298), M. Brooker, "Exponential Backoff And
 //! Jitter" (AWS, 2015), and the retry budgets of Finagle and gRPC, where each success pays for a part of a later repeat.
 
-mod answer_time;
 mod backoff;
 mod budget;
+mod timeout_estimator;
 
-pub use answer_time::AnswerTime;
 pub use backoff::backoff_ms;
 pub use budget::Budget;
+pub use timeout_estimator::TimeoutEstimator;
--- a/crates/sched/src/contact.rs
+++ b/crates/sched/src/contact.rs
@@ -136,10 +136,10 @@
 
     /// Takes note that a worker took an order that was sent at that time.
     pub(crate) fn order_taken(&mut self, key: WorkerKey, sent_at: Millis, now: Millis) {
-        self.repeats.give();
+        self.repeats.refund();
         let worker = &mut self.workers[key];
         let contact = &mut worker.contact;
-        contact.repeats.give();
+        contact.repeats.refund();
         contact.misses = 0;
         contact.window = STARTS_LIMIT;
         contact.taken_sent_at = contact.taken_sent_at.max(Some(sent_at));
--- a/crates/sched/src/repeats.rs
+++ b/crates/sched/src/repeats.rs
@@ -30,7 +30,7 @@
         }
         due.sort_unstable();
         for (_, name) in due {
-            let has_token = self.repeats.has_one(now);
+            let has_token = self.repeats.has_token(now);
             if !has_token || !self.workers[key].contact.repeats.take(now) {
                 return;
             }
