--- a/crates/sched/src/circuit_breaker.rs
+++ b/crates/sched/src/circuit_breaker.rs
@@ -137,10 +137,10 @@
 
     /// Takes note that a worker took an order that was sent at that time.
     pub(crate) fn order_accepted(&mut self, key: WorkerKey, sent_at: Millis, now: Millis) {
-        self.retry_budget.give();
+        self.retry_budget.refund();
         let worker = &mut self.workers[key];
         let contact = &mut worker.contact;
-        contact.retry_budget.give();
+        contact.retry_budget.refund();
         contact.consecutive_failures = 0;
         contact.start_window = MAX_START_WINDOW;
         contact.last_accepted_sent_at = contact.last_accepted_sent_at.max(Some(sent_at));
--- a/crates/sched/src/retries.rs
+++ b/crates/sched/src/retries.rs
@@ -30,7 +30,7 @@
         }
         due.sort_unstable();
         for (_, task_run) in due {
-            let has_token = self.retry_budget.has_one(now);
+            let has_token = self.retry_budget.has_token(now);
             if !has_token || !self.workers[key].contact.retry_budget.take(now) {
                 return;
             }
