--- a/crates/cell/src/leader.rs
+++ b/crates/cell/src/leader.rs
@@ -457,7 +457,8 @@
         maintenance_ms: settings.upkeep_ms,
         vm_order_pause_ms: settings.vm_order_pause_ms,
         order_retry_ms: settings.timing.order_timeout_ms,
-capacity_report_deadline_ms : settings . worker_heartbeat_ms * MAX_MISSED_HEARTBEATS + MAX_HEARTBEAT_DELAY_MS ,
+        capacity_report_deadline_ms: settings.worker_heartbeat_ms * MAX_MISSED_HEARTBEATS
+            + MAX_HEARTBEAT_DELAY_MS,
         ..Options::default()
     }
 }
--- a/crates/cell/src/leader/progress_writer.rs
+++ b/crates/cell/src/leader/progress_writer.rs
@@ -316,7 +316,10 @@
         if ids.is_empty() {
             return;
         }
-let removals : Vec < _ > = ids . iter ( ) . map ( | id | records :: progress_tombstone ( * id ) ) . collect ( ) ;
+        let removals: Vec<_> = ids
+            .iter()
+            .map(|id| records::progress_tombstone(*id))
+            .collect();
         for partition in 0..PROGRESS_PARTITIONS {
             let removed = self
                 .node
--- a/crates/sched/src/advice.rs
+++ b/crates/sched/src/advice.rs
@@ -169,8 +169,7 @@
         let mut total_fitting: u32 = 0;
         for worker in self.workers.values() {
             workers += 1;
-            total_fitting =
-                total_fitting.saturating_add(fit_count(
+            total_fitting = total_fitting.saturating_add(fit_count(
                 &worker.spec.capacity,
                 &spec.reserved_resources(),
                 limit,
@@ -222,7 +221,9 @@
     fn estimate_call_size(&self, job: JobKey, step: usize, unknown: &[(u32, WorkerKey)]) -> usize {
         let job = &self.jobs[job];
         let step_state = &job.steps[step];
-        let tasks = step_state.pending_units.saturating_mul(step_state.members());
+        let tasks = step_state
+            .pending_units
+            .saturating_mul(step_state.members());
         let fitting: u32 = unknown.iter().map(|(fitting, _)| *fitting).sum();
         let workers = u32::try_from(unknown.len()).unwrap_or(u32::MAX).max(1);
         let per_worker = (f64::from(fitting) / f64::from(workers)).max(0.5);
--- a/crates/sched/src/crash_history.rs
+++ b/crates/sched/src/crash_history.rs
@@ -74,7 +74,8 @@
             after_startup,
             ..
         } = self.count;
-        let is_certain = workers >= GIVE_UP_AFTER_CRASHES && sole_suspect >= GIVE_UP_AFTER_SOLE_CRASHES;
+        let is_certain =
+            workers >= GIVE_UP_AFTER_CRASHES && sole_suspect >= GIVE_UP_AFTER_SOLE_CRASHES;
         workers >= CRASHES_LIMIT || is_certain && !after_startup
     }
 
--- a/crates/sched/src/gang.rs
+++ b/crates/sched/src/gang.rs
@@ -7,8 +7,8 @@
 use crate::WorkerKey;
 use crate::ids::JobKey;
 use crate::placement::find_victims;
-use crate::worker::fit_count;
 use crate::units::UnitRef;
+use crate::worker::fit_count;
 
 /// A ticket that is good for less than this is asked for anew while room is being made.
 const MIN_TICKET_VALIDITY_MS: u64 = 300;
@@ -145,8 +145,7 @@
     fn gang_candidates(&self, job_key: JobKey, step_index: usize, now: Millis) -> Vec<WorkerKey> {
         let job = &self.jobs[job_key];
         let step = &job.steps[step_index];
-        let mut candidates =
-            self.eligible_workers(step.spec.required_label.as_ref(), job, now);
+        let mut candidates = self.eligible_workers(step.spec.required_label.as_ref(), job, now);
         if job.spec.policy.advice.is_some() {
             candidates.retain(|key| step.advice.tickets.contains_key(key));
         }
--- a/crates/sched/src/reports.rs
+++ b/crates/sched/src/reports.rs
@@ -21,9 +21,9 @@
 use crate::WorkerSpec;
 use crate::crash_history::Probation;
 use crate::job::UnitState;
-use crate::worker::CpuShare;
 use crate::orphans::RunReport;
 use crate::units::RunTermination;
+use crate::worker::CpuShare;
 use crate::worker::Phase;
 use crate::worker::UnacknowledgedEnd;
 use crate::worker::Worker;
@@ -253,7 +253,8 @@
         }
         let held_run = &self.workers[key].runs[&(listed.task, listed.run)];
         let stopped_long = now.since(held_run.ordered_at) > self.options.max_stop_ms * 2;
-        if held_run.phase == Phase::Stopping && held_run.stop_accepted_at.is_some() && stopped_long {
+        if held_run.phase == Phase::Stopping && held_run.stop_accepted_at.is_some() && stopped_long
+        {
             self.send_stop(key, listed.task, listed.run, StopReason::Unwanted, now);
         } else if held_run.phase == Phase::Running && !self.is_wanted(listed.task, listed.run, now)
         {
--- a/crates/sched/src/retries.rs
+++ b/crates/sched/src/retries.rs
@@ -69,7 +69,10 @@
             return;
         }
         // A start would set a lease, and what has no room any more must not be started.
-        if withholds_lease || is_overcommitted || run_state.orders >= self.options.start_attempts_limit {
+        if withholds_lease
+            || is_overcommitted
+            || run_state.orders >= self.options.start_attempts_limit
+        {
             run_state.begin_stop(now);
             self.send_stop(key, task, run, StopReason::StartInDoubt, now);
             return;
--- a/crates/sched/src/suspects.rs
+++ b/crates/sched/src/suspects.rs
@@ -109,7 +109,14 @@
     }
 
     /// Counts the other workers that are silent, or are gone, since the same moment.
-fn count_simultaneous_silences ( & self , key : WorkerKey , silent_at : Millis ) -> usize { let is_simultaneous = | at : Millis | at . since ( silent_at ) . max ( silent_at . since ( at ) ) <= SIMULTANEOUS_MS ; let gone = self . recent_silences . iter ( ) . filter ( | at | is_simultaneous ( * * at ) ) . count ( ) ;
+    fn count_simultaneous_silences(&self, key: WorkerKey, silent_at: Millis) -> usize {
+        let is_simultaneous =
+            |at: Millis| at.since(silent_at).max(silent_at.since(at)) <= SIMULTANEOUS_MS;
+        let gone = self
+            .recent_silences
+            .iter()
+            .filter(|at| is_simultaneous(**at))
+            .count();
         let others = self.workers.iter().filter(|(other, _)| *other != key);
         let silent =
             others.filter(|(_, worker)| worker.silent && is_simultaneous(worker.silent_since));
--- a/crates/sched/src/waiting.rs
+++ b/crates/sched/src/waiting.rs
@@ -76,7 +76,9 @@
         let step = &job.steps[step_index];
         let required_label = step.spec.required_label.as_ref();
         let eligible = self.eligible_workers(required_label, job, now).len();
-        let allowed = self.currently_allowed_workers(job_key, step_index, now).len();
+        let allowed = self
+            .currently_allowed_workers(job_key, step_index, now)
+            .len();
         let lacking = if eligible == 0 {
             "workers"
         } else if step.advice.asked_at.is_some() {
