--- /dev/null
+++ b/crates/cell/src/leader/retry_report.rs
@@ -0,0 +1,50 @@
+//! What a takeover waits for, told to the log now and then.
+
+use std::fmt::Display;
+
+use syc_types::Millis;
+
+use crate::clock::now;
+use crate::log;
+use crate::ports::Topic;
+
+/// A wait that goes on is told this often.
+const REPORT_INTERVAL_MS: u64 = 1_000;
+
+/// Tries of a takeover to get something of a partition.
+#[derive(Debug)]
+pub(crate) struct RetryReport {
+    pub(crate) topic: Topic,
+    pub(crate) partition: u32,
+    pub(crate) attempts: u32,
+    started_at: Millis,
+    last_reported_at: Option<Millis>,
+}
+
+impl RetryReport {
+    pub(super) fn new(topic: Topic, partition: u32) -> Self {
+        Self {
+            topic,
+            partition,
+            attempts: 0,
+            started_at: now(),
+            last_reported_at: None,
+        }
+    }
+
+    /// Takes note that a try failed; the first is told at once.
+    pub(super) fn report_failure<E>(&mut self, token: u64, step: &'static str, error: &E)
+    where
+        E: Display,
+    {
+        self.attempts += 1;
+        let now = now();
+        let last_reported_at = self.last_reported_at;
+        if last_reported_at.is_some_and(|at| now.since(at) < REPORT_INTERVAL_MS) {
+            return;
+        }
+        self.last_reported_at = Some(now);
+        let waited_ms = now.since(self.started_at);
+        log::takeover_retries(token, step, self, waited_ms, error);
+    }
+}
--- a/crates/sched/src/action.rs
+++ b/crates/sched/src/action.rs
@@ -4,12 +4,12 @@
 use syc_types::Millis;
 use syc_types::VmId;
 
-use crate::Duty;
 use crate::JobId;
 use crate::Note;
 use crate::Run;
 use crate::StepId;
 use crate::TaskId;
+use crate::VmOperation;
 use crate::WorkerKey;
 use crate::WorkerSpec;
 
@@ -76,7 +76,7 @@
         percent: u8,
     },
     /// Ask which workers may run a step.
-    Ask {
+    RequestAdvice {
         /// The step.
         step: StepId,
         /// The workers to name.
@@ -94,10 +94,10 @@
         /// The VM.
         vm: VmId,
         /// What to do.
-        duty: Duty,
+        duty: VmOperation,
     },
     /// Tell the operators how far a wave is.
-    TellWave {
+    ReportWave {
         /// The wave.
         wave: u64,
         /// Whether every VM that stays has begun its upkeep.
--- a/crates/sched/src/misdirected.rs
+++ b/crates/sched/src/misdirected.rs
@@ -43,7 +43,7 @@
     }
 
     fn set_unreported_runs_aside(&mut self, key: WorkerKey, now: Millis) {
-        let ended_at = now.plus(self.options.longest_lease_ms);
+        let ended_at = now.plus(self.options.max_lease_ms);
         let worker = &mut self.workers[key];
         let name = SmolStr::new(worker.spec.id.name());
         let unreported = worker.runs.iter().filter(|(_, run)| !run.reported);
@@ -98,7 +98,7 @@
 
     /// Records that a member of a unit is on another incarnation of its worker, if it is placed at all.
     fn reassign_member(&mut self, task: TaskId, run: Run, from: WorkerKey, to: WorkerKey) {
-        let Some((job, step, unit, member)) = self.locate(task) else {
+        let Some((job, step, unit, member)) = self.locate_task(task) else {
             return;
         };
         let Some(step) = self.jobs[job].steps.get_mut(step) else {
@@ -108,7 +108,7 @@
             run: placed,
             members,
         }
-        | UnitState::Closing {
+        | UnitState::Stopping {
             run: placed,
             members,
             ..
@@ -135,14 +135,14 @@
             ..
         } in expired
         {
-            if let Some((job, step, unit, _)) = self.locate(task)
+            if let Some((job, step, unit, _)) = self.locate_task(task)
                 && let Some(step) = self.jobs[job].steps.get_mut(step)
             {
                 let unit = &mut step.units[unit];
-                unit.lapsed = unit.lapsed.max(run);
+                unit.last_lapsed = unit.last_lapsed.max(run);
             }
             let checkpoint = held.checkpoint;
-            self.account(
+            self.record_run_end(
                 intended_worker,
                 task,
                 run,
--- a/crates/sched/src/placement.rs
+++ b/crates/sched/src/placement.rs
@@ -15,7 +15,7 @@
 use crate::job::Reservation;
 use crate::job::Unit;
 use crate::job::UnitState;
-use crate::units::Place;
+use crate::units::UnitRef;
 use crate::worker::Phase;
 use crate::worker::Worker;
 use crate::worker::WorkerRun;
@@ -29,17 +29,17 @@
         self.measure_headroom(now);
         for (_urgency, job, step) in self.waiting_steps(now) {
             if self.jobs[job].steps[step].spec.gang {
-                self.serve_gang(job, step, now);
+                self.schedule_gang(job, step, now);
             } else {
                 self.place_tasks(job, step, now);
             }
-            self.tell_waiting(job, step, now);
+            self.log_waiting(job, step, now);
         }
         std::mem::take(&mut self.actions)
     }
 
     fn place_tasks(&mut self, job: JobKey, step: usize, now: Millis) {
-        let allowed = self.allowed_now(job, step, now);
+        let allowed = self.currently_allowed_workers(job, step, now);
         let mut preemptions = 0;
         let startable = self.startable_units(job, step);
         for unit in 0..self.jobs[job].steps[step].units.len() {
@@ -56,7 +56,7 @@
             }
             let fitting = self.fitting_workers(job, step, unit, &allowed, now);
             if self.jobs[job].steps[step].units[unit].crashes() > 0 && !fitting.is_empty() {
-                self.place_suspect(Place { job, step, unit }, &fitting, now);
+                self.place_suspect(UnitRef { job, step, unit }, &fitting, now);
                 continue;
             }
             if let Some(worker) = self.pick_worker(job, step, &fitting, now) {
@@ -75,19 +75,22 @@
             }
             // Units of a step have the same needs, so if one does not fit, neither does the next, unless this one
             // avoids workers on which it failed.
-            if self.jobs[job].steps[step].units[unit].avoid.is_empty() {
+            if self.jobs[job].steps[step].units[unit]
+                .avoided_workers
+                .is_empty()
+            {
                 break;
             }
         }
-        if self.jobs[job].steps[step].pending > 0 {
-            self.ask_for_tasks(job, step, now);
+        if self.jobs[job].steps[step].pending_units > 0 {
+            self.request_task_advice(job, step, now);
         }
     }
 
     /// Returns whether a worker accepts no more starts until its next answer, which is expected shortly.
     fn is_awaiting_answer(&self, key: WorkerKey) -> bool {
         let worker = &self.workers[key];
-        !worker.may_take_start() && worker.contact.is_sound()
+        !worker.may_take_start() && worker.contact.is_healthy()
     }
 
     /// Picks the worker with the best fit among those that have room for the task and may be sent another start.
@@ -110,13 +113,13 @@
         }
         if spec.fills {
             candidates.retain(may_take_start);
-            return self.pick_to_fill(job, step, &candidates, now);
+            return self.pick_backfill_worker(job, step, &candidates, now);
         }
-        if candidates.iter().any(|key| !self.awaits_upkeep(*key)) {
-            candidates.retain(|key| !self.awaits_upkeep(*key));
+        if candidates.iter().any(|key| !self.awaits_maintenance(*key)) {
+            candidates.retain(|key| !self.awaits_maintenance(*key));
         }
         candidates.retain(may_take_start);
-        let need = spec.room();
+        let need = spec.reserved_resources();
         let is_latency_bound = spec.tail_limit_ms.is_some();
         candidates.into_iter().min_by_key(|key| {
             let worker = &self.workers[*key];
@@ -142,7 +145,7 @@
         allowed: &[WorkerKey],
         now: Millis,
     ) -> Vec<WorkerKey> {
-        let need = self.jobs[job].steps[step].spec.room();
+        let need = self.jobs[job].steps[step].spec.reserved_resources();
         let avoid = self.avoided_workers(job, step, unit, now);
         let is_suspected = self.jobs[job].steps[step].units[unit].crashes() > 0;
         let mut fitting = Vec::new();
@@ -172,10 +175,10 @@
     ) -> &[WorkerKey] {
         let of_step = &self.jobs[job].steps[step];
         let waited_ms = now.since(of_step.ready_at.unwrap_or(now));
-        if waited_ms > self.options.avoid_ms {
+        if waited_ms > self.options.avoid_failed_workers_ms {
             return &[];
         }
-        &of_step.units[unit].avoid
+        &of_step.units[unit].avoided_workers
     }
 
     /// Returns whether a worker may run another task of a step. Its runs and the reservations for other units both
@@ -213,7 +216,7 @@
     ) -> bool {
         let of_job = &self.jobs[job];
         let priority = of_job.spec.policy.priority;
-        let need = of_job.steps[step].spec.room();
+        let need = of_job.steps[step].spec.reserved_resources();
         let avoid = self.avoided_workers(job, step, unit, now);
         let mut best: Option<(WorkerKey, Victims)> = None;
         for key in allowed {
@@ -252,7 +255,7 @@
         now: Millis,
     ) {
         let of_step = &self.jobs[job].steps[step];
-        let need = of_step.spec.room();
+        let need = of_step.spec.reserved_resources();
         let isolated = of_step.units[unit].is_isolated();
         let suspected = of_step.units[unit].crashes() > 0;
         for (worker, count) in &workers {
@@ -261,7 +264,7 @@
             worker.reserved_suspects += u32::from(suspected);
             worker.reserved_isolations += u32::from(isolated);
         }
-        let until = now.plus(self.options.reservation_ms);
+        let until = now.plus(self.options.reservation_limit_ms);
         let unit = &mut self.jobs[job].steps[step].units[unit];
         unit.reservation = Some(Reservation {
             workers,
@@ -273,14 +276,14 @@
 
     /// Releases the reservation of a unit and retracts its announced placement.
     pub(crate) fn release_reservation(&mut self, job: JobKey, step: usize, unit: usize) {
-        self.retract_announcement(Place { job, step, unit });
+        self.retract_announcement(UnitRef { job, step, unit });
         self.drop_reservation(job, step, unit);
     }
 
     /// Releases the reservation of a unit, but keeps its announced placement.
     pub(crate) fn drop_reservation(&mut self, job: JobKey, step: usize, unit: usize) {
         let of_step = &mut self.jobs[job].steps[step];
-        let need = of_step.spec.room();
+        let need = of_step.spec.reserved_resources();
         let Some(reservation) = of_step.units[unit].reservation.take() else {
             return;
         };
@@ -321,7 +324,7 @@
         now: Millis,
     ) {
         let of_step = &self.jobs[job].steps[step];
-        let need = of_step.spec.room();
+        let need = of_step.spec.reserved_resources();
         let Some(reservation) = &of_step.units[unit].reservation else {
             return;
         };
@@ -335,8 +338,8 @@
         let fits = is_clear && need.fits_in(&self.workers[worker].free());
         if fits && self.is_below_task_limit(worker, job, step, unit) {
             if !self.has_ticket(job, step, worker, now) {
-                self.ask_again(job, step, &[worker], now);
-            } else if self.ensure_announced(Place { job, step, unit }) {
+                self.renew_tickets(job, step, &[worker], now);
+            } else if self.ensure_announced(UnitRef { job, step, unit }) {
                 self.drop_reservation(job, step, unit);
                 self.start_unit(job, step, unit, &[worker], now);
                 return;
@@ -373,13 +376,13 @@
         workers: &[WorkerKey],
         now: Millis,
     ) {
-        let place = Place {
+        let place = UnitRef {
             job: job_key,
             step: step_index,
             unit: unit_index,
         };
         if self.unit_mut(place).exceeds_crash_limit() {
-            self.fail_if_spent(place, now);
+            self.fail_if_exhausted(place, now);
             return;
         }
         let id = self.step_id(job_key, step_index);
@@ -394,21 +397,21 @@
         let job = &mut self.jobs[job_key];
         let step = &mut job.steps[step_index];
         let unit = &mut step.units[unit_index];
-        let run = match unit.announced.take() {
-            Some(_) => unit.started,
-            None => unit.started.max(unit.accounted).next(),
+        let run = match unit.start_intent.take() {
+            Some(_) => unit.last_started,
+            None => unit.last_started.max(unit.last_accounted).next(),
         };
-        unit.started = run;
+        unit.last_started = run;
         unit.state = UnitState::Placed {
             run,
             members: workers.iter().copied().map(Some).collect(),
         };
-        step.pending -= 1;
+        step.pending_units -= 1;
         for (member, worker) in workers.iter().enumerate() {
             let task = self.jobs[job_key].steps[step_index].task_at(id, unit_index, member);
             self.start_member(job_key, step_index, *worker, task, run, now);
         }
-        self.changed(job_key);
+        self.mark_changed(job_key);
     }
 
     fn start_member(
@@ -431,12 +434,12 @@
         let held = WorkerRun {
             probation: Probation::of(history),
             ticket: ticket.clone(),
-            resumed: of_step.resumes(task.index),
+            resumed: of_step.resumes_from_checkpoint(task.index),
             ..WorkerRun::starting(&of_step.spec, of_job.spec.policy.priority, now)
         };
         self.headroom.consume(held.resources.cpu_millis);
         self.workers[worker].insert(task, run, held);
-        self.order_start(worker, task, run, ticket, 0, now);
+        self.send_start(worker, task, run, ticket, 0, now);
     }
 }
 
--- a/crates/sched/src/pools.rs
+++ b/crates/sched/src/pools.rs
@@ -9,11 +9,11 @@
 use syc_types::VmId;
 
 use crate::Action;
-use crate::Duty;
-use crate::DutyAnswer;
 use crate::Note;
 use crate::Scheduler;
 use crate::VmNote;
+use crate::VmOperation;
+use crate::VmOrderAnswer;
 use crate::VmState;
 
 /// A service gets VMs after lacking capacity for this long. A move takes longer than most bursts of small tasks, and
@@ -69,7 +69,7 @@
 
     /// Moves VMs to services that lack capacity, and returns idle ones.
     pub(crate) fn balance_pools(&mut self, now: Millis) {
-        if self.pools.standby.is_empty() || !self.recovery.is_settled() {
+        if self.pools.standby.is_empty() || !self.recovery.is_complete() {
             return;
         }
         let demands = self.demands(now);
@@ -113,14 +113,14 @@
             let demand = demands.entry(pending.pool.clone()).or_default();
             demand.free = demand.free.saturating_add(&info.capacity);
         }
-        for key in &self.open {
+        for key in &self.open_jobs {
             let job = &self.jobs[*key];
             for (index, step) in job.steps.iter().enumerate() {
-                if step.pending == 0 || !job.is_ready(index, now) {
+                if step.pending_units == 0 || !job.is_ready(index, now) {
                     continue;
                 }
-                let tasks = step.pending.saturating_mul(step.members());
-                let waiting = step.spec.room().saturating_mul(tasks);
+                let tasks = step.pending_units.saturating_mul(step.members());
+                let waiting = step.spec.reserved_resources().saturating_mul(tasks);
                 let service = job.spec.policy.service.clone();
                 let demand = demands.entry(service).or_default();
                 demand.waiting = demand.waiting.saturating_add(&waiting);
@@ -236,7 +236,7 @@
         self.pools.pending_moves.insert(vm.clone(), pending);
         self.actions.push(Action::OrderVm {
             vm,
-            duty: Duty::Move { pool },
+            duty: VmOperation::Move { pool },
         });
     }
 
@@ -258,7 +258,7 @@
         &mut self,
         vm: &VmId,
         pool: &ServiceName,
-        answer: DutyAnswer,
+        answer: VmOrderAnswer,
         now: Millis,
     ) {
         let Some(pending) = self.pools.pending_moves.get_mut(vm) else {
@@ -266,9 +266,9 @@
         };
         pending.awaiting_answer = false;
         match answer {
-            DutyAnswer::Done => pending.done_at = Some(now),
-            DutyAnswer::Busy | DutyAnswer::InDoubt => {}
-            DutyAnswer::Unfit => {
+            VmOrderAnswer::Done => pending.done_at = Some(now),
+            VmOrderAnswer::Busy | VmOrderAnswer::InDoubt => {}
+            VmOrderAnswer::Unfit => {
                 self.pools.unfit.insert((vm.clone(), pool.clone()));
                 self.pools.pending_moves.remove(vm);
                 self.pools.borrowed.remove(vm);
--- a/crates/sched/src/predecessor_placement.rs
+++ b/crates/sched/src/predecessor_placement.rs
@@ -30,7 +30,7 @@
         let names = kept.workers.iter();
         let workers = names.map(|name| (!name.as_str().is_empty()).then(|| name.clone()));
         Self {
-            run: kept.started,
+            run: kept.last_started,
             workers: workers.collect(),
         }
     }
@@ -62,7 +62,7 @@
 {
     let before = &unit.placed_before;
     let mut names: Vec<_> = match (&unit.state, &unit.reservation) {
-        (UnitState::Placed { members, run } | UnitState::Closing { members, run, .. }, _) => {
+        (UnitState::Placed { members, run } | UnitState::Stopping { members, run, .. }, _) => {
             // Members of a predecessor's start that were not found may have crashed their workers.
             let not_found = |member| {
                 let workers = before.workers.get(member).filter(|_| *run == before.run);
@@ -74,7 +74,7 @@
             };
             members.map(name).collect()
         }
-        (_, Some(reservation)) if unit.announced.is_some() => {
+        (_, Some(reservation)) if unit.start_intent.is_some() => {
             reservation.members().map(name_of).collect()
         }
         _ => before.workers.clone(),
--- a/crates/sched/src/slowness.rs
+++ b/crates/sched/src/slowness.rs
@@ -16,7 +16,7 @@
 use crate::WorkerKey;
 use crate::WorkerNote;
 use crate::job::Step;
-use crate::units::Place;
+use crate::units::UnitRef;
 use crate::worker::Phase;
 use crate::worker::WorkerRun;
 use crate::worker::fit_count;
@@ -65,7 +65,7 @@
 struct RunProjection {
     task: TaskId,
     run: Run,
-    place: Place,
+    place: UnitRef,
     total_ms: u64,
     /// The share left to do on this worker, and on another one, in percent.
     left_percent: u64,
@@ -98,7 +98,7 @@
     fn median_ms(&self, except: &[usize]) -> Option<u64> {
         let units = self.units.iter().enumerate();
         let elsewhere = units.filter(|(index, _)| !except.contains(index));
-        let projected = elsewhere.filter_map(|(_, unit)| unit.whole_ms);
+        let projected = elsewhere.filter_map(|(_, unit)| unit.expected_run_ms);
         let mut others: Vec<_> = projected.take(PEERS_LIMIT).collect();
         if others.len() < MIN_PEERS {
             return None;
@@ -160,21 +160,21 @@
             let Some(total_ms) = held.total_ms(now) else {
                 continue;
             };
-            let Some((job, step, unit, _member)) = self.locate(*task) else {
+            let Some((job, step, unit, _member)) = self.locate_task(*task) else {
                 continue;
             };
             let left_percent = u64::from(100 - held.percent.min(100));
             projections.push(RunProjection {
                 task: *task,
                 run: *run,
-                place: Place { job, step, unit },
+                place: UnitRef { job, step, unit },
                 total_ms,
                 left_percent,
                 elsewhere_percent: if held.checkpointed { left_percent } else { 100 },
             });
         }
         for projection in &projections {
-            self.unit_mut(projection.place).whole_ms = Some(projection.total_ms);
+            self.unit_mut(projection.place).expected_run_ms = Some(projection.total_ms);
         }
         projections
     }
@@ -229,7 +229,7 @@
     /// Stops runs that would end sooner elsewhere, as far as other workers have room for them.
     fn move_off_slow(&mut self, key: WorkerKey, projections: &[RunProjection], now: Millis) {
         for projection in projections {
-            let cost_ms = self.elsewhere_ms(projection) + self.options.stop_ms + MOVE_COST_MS;
+            let cost_ms = self.elsewhere_ms(projection) + self.options.max_stop_ms + MOVE_COST_MS;
             if projection.left_ms() * 100 > cost_ms * MIN_MOVE_GAIN_PERCENT
                 && self.try_take_move(projection.place, key, now)
             {
@@ -240,7 +240,7 @@
 
     /// Returns the expected time for the rest of a run on another worker.
     fn elsewhere_ms(&self, projection: &RunProjection) -> u64 {
-        let Place { job, step, unit } = projection.place;
+        let UnitRef { job, step, unit } = projection.place;
         let of_step = &self.jobs[job].steps[step];
         let median_ms = of_step.median_ms(&[unit]);
         let total_ms = median_ms.unwrap_or(of_step.spec.estimate_ms);
@@ -248,12 +248,12 @@
     }
 
     /// Counts a move of a task if it may move once more and another worker has room for it. Returns whether it did.
-    fn try_take_move(&mut self, place: Place, from: WorkerKey, now: Millis) -> bool {
-        let Place { job, step, .. } = place;
+    fn try_take_move(&mut self, place: UnitRef, from: WorkerKey, now: Millis) -> bool {
+        let UnitRef { job, step, .. } = place;
         let of_step = &self.jobs[job].steps[step];
-        let need = of_step.spec.room();
+        let need = of_step.spec.reserved_resources();
         let label = of_step.spec.required_label.as_ref();
-        let eligible = self.eligible(label, &self.jobs[job], now);
+        let eligible = self.eligible_workers(label, &self.jobs[job], now);
         let mut others = eligible.into_iter().filter(|key| *key != from);
         let has_room = others.any(|key| fit_count(&self.workers[key].available(), &need, 1) == 1);
         let unit = self.unit_mut(place);
--- a/crates/sched/src/stale_capacity.rs
+++ b/crates/sched/src/stale_capacity.rs
@@ -9,7 +9,7 @@
 
 use crate::Scheduler;
 use crate::WorkerKey;
-use crate::reports::belief;
+use crate::reports::status_note;
 use crate::worker::Worker;
 
 /// Maximum time between two reads that counts towards the expiry of registrations. After a longer gap the store may
@@ -49,7 +49,7 @@
 impl Scheduler {
     /// Marks the capacity of a worker as stale if it has just answered again after a long silence.
     pub(crate) fn mark_capacity_stale(&mut self, key: WorkerKey, now: Millis) {
-        let limit_ms = self.options.room_told_ms;
+        let limit_ms = self.options.capacity_report_ttl_ms;
         let worker = &mut self.workers[key];
         if worker.stale_capacity.is_some() || !worker.capacity_may_be_stale(limit_ms, now) {
             return;
@@ -58,7 +58,7 @@
             since: now,
             readable_at_first_read_ms: None,
         });
-        let note = belief(worker, "room_in_doubt", now);
+        let note = status_note(worker, "room_in_doubt", now);
         self.actions.push(note);
     }
 
@@ -71,7 +71,7 @@
         let gap_ms = asked_at.since(registrations.asked_at);
         registrations.readable_ms += gap_ms.min(READ_GAP_LIMIT_MS);
         registrations.asked_at = asked_at;
-        let told_within_ms = self.options.told_within_ms;
+        let told_within_ms = self.options.capacity_report_deadline_ms;
         for worker in self.workers.values_mut() {
             let Some(stale) = &mut worker.stale_capacity else {
                 continue;
@@ -80,7 +80,7 @@
                 continue;
             }
             worker.stale_capacity = None;
-            let note = belief(worker, "room_known", now);
+            let note = status_note(worker, "room_known", now);
             self.actions.push(note);
         }
     }
--- a/crates/sched/src/suspects.rs
+++ b/crates/sched/src/suspects.rs
@@ -21,10 +21,10 @@
 use crate::crash_history::Crash;
 use crate::crash_history::RECENT_RUN_MS;
 use crate::ids::JobKey;
-use crate::job::Announced;
+use crate::job::StartIntent;
 use crate::job::Step;
 use crate::job::UnitState;
-use crate::units::Place;
+use crate::units::UnitRef;
 
 /// A run that was not isolated counts as the sole suspect only if its worker went silent within this time of
 /// confirming it.
@@ -87,9 +87,9 @@
         let suspects = worker.crash_suspects(silent_at);
         let has_shared_cause =
             self.count_simultaneous_silences(key, silent_at) >= SIMULTANEOUS_OTHERS;
-        self.silences.push_back(silent_at);
-        if self.silences.len() > SILENCES_LIMIT {
-            self.silences.pop_front();
+        self.recent_silences.push_back(silent_at);
+        if self.recent_silences.len() > SILENCES_LIMIT {
+            self.recent_silences.pop_front();
         }
         let units: BTreeSet<_> = suspects
             .iter()
@@ -115,7 +115,7 @@
         let is_simultaneous =
             |at: Millis| at.since(silent_at).max(silent_at.since(at)) <= SIMULTANEOUS_MS;
         let gone = self
-            .silences
+            .recent_silences
             .iter()
             .filter(|at| is_simultaneous(**at))
             .count();
@@ -127,14 +127,14 @@
 
     /// Identifies the unit of a task; all members of a gang share one.
     fn unit_key(&self, task: TaskId) -> (StepId, usize) {
-        let unit = self.locate(task).map(|(_, _, unit, _)| unit);
+        let unit = self.locate_task(task).map(|(_, _, unit, _)| unit);
         (task.step, unit.unwrap_or(usize::MAX))
     }
 
     /// Records a crash for what a predecessor had started on a worker that is gone before it reported its runs.
     fn record_unreported_crash(&mut self, worker: &WorkerId, now: Millis) {
         let mut suspects = Vec::new();
-        for key in &self.open {
+        for key in &self.open_jobs {
             for (index, step) in self.jobs[*key].steps.iter().enumerate() {
                 let id = self.step_id(*key, index);
                 for (unit_index, unit) in step.units.iter().enumerate() {
@@ -161,7 +161,7 @@
     }
 
     fn record_task_crash(&mut self, task: TaskId, run: Run, crash: Crash, now: Millis) {
-        let Some((job, step, unit, member)) = self.locate(task) else {
+        let Some((job, step, unit, member)) = self.locate_task(task) else {
             return;
         };
         let of_job = &self.jobs[job];
@@ -184,10 +184,10 @@
             worker: crash.worker,
             crashes: history.count.workers,
             alone: crash.sole_suspect,
-            there_ms: crash.confirmed_ms,
+            present_ms: crash.confirmed_ms,
         };
         self.actions.push(Action::Note(note));
-        self.changed(job);
+        self.mark_changed(job);
     }
 
     /// Updates the probation of a run that its worker reports. A run that has been there for long enough is no longer
@@ -216,7 +216,7 @@
 
     /// Records that a run that was started at `started_at` did not crash its worker.
     pub(crate) fn clear_step(&mut self, task: TaskId, started_at: Millis) {
-        if let Some((job, step, _, _)) = self.locate(task)
+        if let Some((job, step, _, _)) = self.locate_task(task)
             && let Some(of_step) = self.jobs[job].steps.get_mut(step)
         {
             of_step.clear_suspicion(started_at);
@@ -224,13 +224,13 @@
     }
 
     fn clear_crash_history(&mut self, task: TaskId) {
-        let Some((job, step, unit, _)) = self.locate(task) else {
+        let Some((job, step, unit, _)) = self.locate_task(task) else {
             return;
         };
         let unit = &mut self.jobs[job].steps[step].units[unit];
         if !unit.blames.is_empty() {
             unit.blames.clear();
-            self.changed(job);
+            self.mark_changed(job);
         }
     }
 
@@ -268,8 +268,8 @@
     }
 
     /// Reserves a worker for a suspected task, preferring the one with the least to lose in a crash.
-    pub(crate) fn place_suspect(&mut self, place: Place, fitting: &[WorkerKey], now: Millis) {
-        let Place { job, step, unit } = place;
+    pub(crate) fn place_suspect(&mut self, place: UnitRef, fitting: &[WorkerKey], now: Millis) {
+        let UnitRef { job, step, unit } = place;
         let open = fitting
             .iter()
             .filter(|key| self.workers[**key].may_take_start());
@@ -287,30 +287,33 @@
     /// Returns whether a unit may be started on the workers reserved for it. The placement of a suspected unit has to
     /// be stored first, so that a successor can attribute a crash that happens while no scheduler is acting. Announces
     /// the placement if that has not been done.
-    pub(crate) fn ensure_announced(&mut self, place: Place) -> bool {
-        let Place { job, step, unit } = place;
+    pub(crate) fn ensure_announced(&mut self, place: UnitRef) -> bool {
+        let UnitRef { job, step, unit } = place;
         let of_unit = &self.jobs[job].steps[step].units[unit];
         if of_unit.crashes() == 0 {
             return true;
         }
-        if let Some(announced) = of_unit.announced {
-            return self.jobs[job].recorded >= announced.change;
+        if let Some(announced) = of_unit.start_intent {
+            return self.jobs[job].recorded_change >= announced.change;
         }
-        let before = of_unit.started;
-        let change = self.changed(job);
+        let before = of_unit.last_started;
+        let change = self.mark_changed(job);
         let of_unit = self.unit_mut(place);
-        of_unit.started = before.max(of_unit.accounted).next();
-        of_unit.announced = Some(Announced { before, change });
+        of_unit.last_started = before.max(of_unit.last_accounted).next();
+        of_unit.start_intent = Some(StartIntent {
+            previous_run: before,
+            change,
+        });
         false
     }
 
     /// Retracts the announced placement of a unit that is not started there.
-    pub(crate) fn retract_announcement(&mut self, place: Place) {
+    pub(crate) fn retract_announcement(&mut self, place: UnitRef) {
         let of_unit = self.unit_mut(place);
-        let Some(announced) = of_unit.announced.take() else {
+        let Some(announced) = of_unit.start_intent.take() else {
             return;
         };
-        of_unit.started = announced.before;
-        self.changed(place.job);
+        of_unit.last_started = announced.previous_run;
+        self.mark_changed(place.job);
     }
 }
--- a/crates/sched/src/vms.rs
+++ b/crates/sched/src/vms.rs
@@ -157,7 +157,7 @@
     /// Returns the specification of a step of a known job.
     fn step_spec(&self, step: StepId) -> Option<&StepSpec> {
         let job = &self.jobs[*self.job_keys.get(&step.job)?];
-        let of_step = job.steps.get(job.index_of(step)?)?;
+        let of_step = job.steps.get(job.step_index(step)?)?;
         Some(&of_step.spec)
     }
 
@@ -171,7 +171,7 @@
         for worker in self.workers.values() {
             // The last report of a silent worker may be as old as its lease, and nobody is served there meanwhile.
             // Runs on a worker whose lease is being let lapse are about to end.
-            if worker.silent || worker.contact.lapsing {
+            if worker.silent || worker.contact.withholds_lease {
                 continue;
             }
             let runs = worker.runs_of(step);
--- a/crates/sched/src/worker.rs
+++ b/crates/sched/src/worker.rs
@@ -16,10 +16,10 @@
 use crate::TaskId;
 use crate::WorkerNote;
 use crate::WorkerSpec;
-use crate::contact::Contact;
+use crate::circuit_breaker::CircuitBreaker;
 use crate::crash_history::CrashHistory;
 use crate::crash_history::Probation;
-use crate::pacing::Fill;
+use crate::pacing::Backfill;
 use crate::pacing::PaceControl;
 use crate::stale_capacity::StaleCapacity;
 
@@ -88,13 +88,13 @@
     /// Gets what it requested, and its tail latency, as last reported, must stay below the limit.
     LatencyBound { limit_ms: u64, tail_ms: Option<u64> },
     /// Gets the processor time that the other runs leave unused.
-    Fills(Fill),
+    Fills(Backfill),
 }
 
 impl CpuShare {
     fn of_step(spec: &StepSpec) -> Self {
         if spec.fills {
-            return Self::Fills(Fill::started(spec.resources.cpu_millis));
+            return Self::Fills(Backfill::started(spec.resources.cpu_millis));
         }
         match spec.tail_limit_ms {
             Some(limit_ms) => Self::LatencyBound {
@@ -112,7 +112,7 @@
     /// Creates the run for a task of a step, which occupies its resources from now on while the start is unanswered.
     pub(crate) fn starting(spec: &StepSpec, priority: u32, now: Millis) -> Self {
         Self {
-            resources: spec.room(),
+            resources: spec.reserved_resources(),
             phase: Phase::Starting,
             held_since: now,
             ordered_at: now,
@@ -276,7 +276,7 @@
     pub(crate) evacuating: bool,
     /// Controls the pace of the runs that fill unused processor time.
     pub(crate) pace: PaceControl,
-    pub(crate) contact: Contact,
+    pub(crate) contact: CircuitBreaker,
 }
 
 impl Worker {
@@ -308,7 +308,7 @@
             suspected_runs: 0,
             evacuating: false,
             pace: PaceControl::new(),
-            contact: Contact::new(),
+            contact: CircuitBreaker::new(),
         }
     }
 
@@ -324,7 +324,7 @@
             .runs
             .values()
             .filter(|run| run.phase == Phase::Starting);
-        let limit = usize::try_from(self.contact.starts_limit()).unwrap_or(usize::MAX);
+        let limit = usize::try_from(self.contact.max_unanswered_starts()).unwrap_or(usize::MAX);
         starting.take(limit).count() < limit
     }
 
--- a/crates/sched/tests/core/review.rs
+++ b/crates/sched/tests/core/review.rs
@@ -31,13 +31,13 @@
 /// The answer to the start of a long run is lost, a report lists it, and the starts after it never leave the node:
 /// no order is in doubt.
 #[test]
-fn a_worker_without_any_doubt_is_probed_and_used_again() {
+fn worker_without_in_doubt_orders_is_probed_and_used_again() {
     let mut driver = Driver::new(1, 64);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     driver.schedule();
     let long = driver.starts.remove(0);
-    driver.pass(50);
-    driver.hold(long.worker, &[(long.task, long.run, 0)]);
+    driver.advance(50);
+    driver.report_running(long.worker, &[(long.task, long.run, 0)]);
     driver.submit(2, policy(0), vec![step(6, 1)]);
     driver.schedule();
     let unsent = std::mem::take(&mut driver.starts);
@@ -45,44 +45,44 @@
     for start in &unsent {
         answer(&mut driver, start, StartAnswer::NotSent);
     }
-    driver.pass(200);
+    driver.advance(200);
     answer(&mut driver, &long, StartAnswer::InDoubt);
     for percent in 1..100 {
-        driver.pass(600);
+        driver.advance(600);
         driver.renew_leases();
-        driver.hold(long.worker, &[(long.task, long.run, percent)]);
+        driver.report_running(long.worker, &[(long.task, long.run, percent)]);
         driver.apply(Event::Ticked);
         driver.record();
         driver.schedule();
     }
     assert!(
         !(driver.starts.is_empty() && driver.stops.is_empty()),
-        "nothing was sent to a sound worker for a minute: {:?}",
-        driver.beliefs
+        "nothing was sent to a healthy worker for a minute: {:?}",
+        driver.status_changes
     );
 }
 
 /// Many workers take no orders, and one loses the orders of half a second: what it runs is not to be lost with theirs.
 #[test]
-fn a_sound_worker_keeps_its_lease_while_others_use_up_the_repeats() {
+fn healthy_worker_keeps_its_lease_while_others_use_up_the_retry_budget() {
     let mut lapsed: Vec<usize> = Vec::new();
-    for sound in (0..60).step_by(6) {
-        if sound_worker_lapses(60, sound) {
-            lapsed.push(sound);
+    for healthy in (0..60).step_by(6) {
+        if healthy_worker_loses_lease(60, healthy) {
+            lapsed.push(healthy);
         }
     }
     assert!(lapsed.is_empty(), "{lapsed:?}");
 }
 
 /// Says whether the lease of the only sound worker is let lapse. Of the four tasks of each, three are cancelled.
-fn sound_worker_lapses(workers: usize, sound: usize) -> bool {
+fn healthy_worker_loses_lease(workers: usize, healthy: usize) -> bool {
     let mut simulation = Simulation::new(workers, 4);
     simulation.work_ms = 60_000;
     let tasks = 4 * u64::try_from(workers).expect("few");
     simulation.submit(1..tasks + 1);
     simulation.run_for(500);
     for index in 0..workers {
-        let time_ms = if index == sound { 500 } else { 1_000_000 };
+        let time_ms = if index == healthy { 500 } else { 1_000_000 };
         simulation.reset_orders(index, time_ms);
     }
     let mut cancelled = BTreeMap::new();
@@ -93,13 +93,15 @@
             simulation.driver.cancel(sent.task.step.job.0);
         }
     }
-    simulation.run_for(2 * Options::default().doubt_limit_ms);
-    simulation.beliefs_about(sound).contains(&"lease_let_lapse")
+    simulation.run_for(2 * Options::default().in_doubt_limit_ms);
+    simulation
+        .beliefs_about(healthy)
+        .contains(&"lease_let_lapse")
 }
 
 /// A reset comes within a millisecond, and so may the next report of a worker that lists an end.
 #[test]
-fn a_pace_that_was_not_taken_is_not_sent_again_within_milliseconds() {
+fn failed_pace_order_is_not_resent_immediately() {
     let mut driver = Driver::new(1, 8);
     let serves = StepSpec {
         long_running: true,
@@ -114,13 +116,13 @@
     driver.submit(2, policy(1), vec![fills]);
     driver.schedule();
     let starts = driver.confirm_starts();
-    driver.pass(500);
+    driver.advance(500);
     let loads = [(&starts[0], 90), (&starts[1], 4_000)];
-    driver.hold_loads(starts[0].worker, &loads);
+    driver.report_loads(starts[0].worker, &loads);
     assert!(driver.answer_paces(false).is_some(), "the first order");
     let mut repeats = 0;
     for _ in 0..Options::default().order_retry_ms / 2 {
-        driver.hold_loads(starts[0].worker, &loads);
+        driver.report_loads(starts[0].worker, &loads);
         repeats += u32::from(driver.answer_paces(false).is_some());
     }
     assert_eq!(repeats, 0, "orders sent again within 150 ms");
@@ -129,7 +131,7 @@
 /// A worker with more tasks of a step than may be missing resets every order. A task that was to start there is
 /// accepted, and could run elsewhere.
 #[test]
-fn a_task_does_not_wait_for_ever_for_a_worker_on_which_too_many_serve() {
+fn task_does_not_wait_forever_for_a_worker_at_its_unavailability_limit() {
     let mut driver = Driver::new(2, 4);
     let lasting = StepSpec {
         long_running: true,
@@ -141,7 +143,7 @@
     let serving = driver.confirm_starts();
     let shut = serving[0].worker;
     assert!(serving.iter().all(|start| start.worker == shut));
-    driver.pass(10);
+    driver.advance(10);
     driver.submit(2, policy(0), vec![step(1, 1)]);
     driver.schedule();
     let untaken = driver.starts.remove(0);
@@ -149,11 +151,11 @@
     answer(&mut driver, &untaken, StartAnswer::InDoubt);
     let running: Vec<_> = serving.iter().map(|s| (s.task, s.run, 100)).collect();
     for _ in 0..600 {
-        driver.pass(100);
+        driver.advance(100);
         driver.renew_leases();
         let workers = driver.workers.clone();
-        driver.hold(workers[0], if workers[0] == shut { &running } else { &[] });
-        driver.hold(workers[1], if workers[1] == shut { &running } else { &[] });
+        driver.report_running(workers[0], if workers[0] == shut { &running } else { &[] });
+        driver.report_running(workers[1], if workers[1] == shut { &running } else { &[] });
         driver.apply(Event::Ticked);
         driver.record();
         driver.schedule();
@@ -172,5 +174,5 @@
             answer(&mut driver, &start, StartAnswer::InDoubt);
         }
     }
-    panic!("it waited for a minute: {:?}", driver.beliefs);
+    panic!("it waited for a minute: {:?}", driver.status_changes);
 }
--- a/crates/sched/tests/core/simulation.rs
+++ b/crates/sched/tests/core/simulation.rs
@@ -53,7 +53,7 @@
 
 impl Simulation {
     pub fn new(workers: usize, cores: u64) -> Self {
-        let driver = Driver::untried(workers, cores);
+        let driver = Driver::with_untried_workers(workers, cores);
         let states = driver.workers.iter();
         let states = states
             .map(|key| (*key, SimulatedWorker::default()))
@@ -113,7 +113,7 @@
     /// Returns the changes of belief about a worker, in order.
     pub fn beliefs_about(&self, index: usize) -> Vec<&'static str> {
         let name = format!("w-{index}");
-        let beliefs = self.driver.beliefs.iter();
+        let beliefs = self.driver.status_changes.iter();
         let of_worker = beliefs.filter(|(worker, _)| worker.as_str() == name);
         of_worker.map(|(_, belief)| *belief).collect()
     }
@@ -123,7 +123,7 @@
     }
 
     fn step(&mut self) {
-        self.driver.pass(STEP_MS);
+        self.driver.advance(STEP_MS);
         self.end_due_runs();
         for key in self.driver.workers.clone() {
             self.renew(key);
--- a/crates/sched/tests/core/stale_capacity.rs
+++ b/crates/sched/tests/core/stale_capacity.rs
@@ -33,7 +33,7 @@
     register_with_cores(&mut driver, 4);
     driver.submit(2, policy(0), vec![step(1, 1)]);
     assert!(driver.settle().is_empty());
-    driver.end(
+    driver.report_end(
         &started[0],
         syc_sched::RunEnd::Done,
         &[(started[1].task, started[1].run, 10)],
@@ -47,8 +47,8 @@
     let mut driver = Driver::new(1, 8);
     let worker = driver.workers[0];
     driver.apply(Event::RenewalFailed { worker });
-    driver.pass(4_000);
-    driver.hold(worker, &[]);
+    driver.advance(4_000);
+    driver.report_running(worker, &[]);
     driver.submit(1, policy(0), vec![step(1, 4)]);
     assert!(driver.settle().is_empty());
     register_with_cores(&mut driver, 2);
@@ -73,7 +73,7 @@
     }
     register_with_cores(&mut driver, 4);
     for _ in 0..20 {
-        driver.pass(100);
+        driver.advance(100);
         driver.apply(Event::Ticked);
     }
     assert!(driver.starts.is_empty());
@@ -110,8 +110,8 @@
     let worker = driver.workers[0];
     driver.read_workers();
     driver.apply(Event::RenewalFailed { worker });
-    driver.pass(4_000);
-    driver.hold(worker, &[]);
+    driver.advance(4_000);
+    driver.report_running(worker, &[]);
     (driver, worker)
 }
 
@@ -122,15 +122,15 @@
     let (mut driver, worker) = driver_after_long_silence();
     let answered_at = driver.now;
     driver.submit(1, policy(0), vec![step(1, 4)]);
-    let told_within_ms = Options::default().told_within_ms;
+    let told_within_ms = Options::default().capacity_report_deadline_ms;
     while driver.now < answered_at.plus(told_within_ms) {
         driver.read_workers();
         assert!(
             driver.settle().is_empty(),
             "the registration may not have been refreshed since"
         );
-        driver.pass(250);
-        driver.hold(worker, &[]);
+        driver.advance(250);
+        driver.report_running(worker, &[]);
     }
     driver.read_workers();
     assert_eq!(driver.settle().len(), 1);
@@ -141,14 +141,14 @@
 fn time_without_registration_reads_does_not_confirm_capacity() {
     let (mut driver, worker) = driver_after_long_silence();
     driver.submit(1, policy(0), vec![step(1, 4)]);
-    let told_within_ms = Options::default().told_within_ms;
-    driver.pass(told_within_ms);
+    let told_within_ms = Options::default().capacity_report_deadline_ms;
+    driver.advance(told_within_ms);
     driver.read_workers();
     assert!(driver.settle().is_empty());
     let read_again_at = driver.now;
     while driver.now < read_again_at.plus(told_within_ms) {
-        driver.pass(250);
-        driver.hold(worker, &[]);
+        driver.advance(250);
+        driver.report_running(worker, &[]);
         driver.read_workers();
     }
     assert_eq!(driver.settle().len(), 1);
@@ -160,8 +160,8 @@
     let (mut driver, worker) = driver_after_long_silence();
     driver.submit(1, policy(0), vec![step(1, 4)]);
     for _ in 0..5 {
-        driver.pass(2_000);
-        driver.hold(worker, &[]);
+        driver.advance(2_000);
+        driver.report_running(worker, &[]);
         driver.read_workers();
     }
     assert_eq!(driver.settle().len(), 1);
@@ -173,7 +173,7 @@
     let (mut driver, _worker) = driver_after_long_silence();
     driver.submit(1, policy(0), vec![step(1, 4)]);
     driver.schedule();
-    driver.pass(1_000);
+    driver.advance(1_000);
     let actions = driver.scheduler.schedule(driver.now);
     let told = actions.into_iter().find_map(|action| match action {
         Action::Note(Note::Waiting { hindered, .. }) => Some(hindered),
--- a/crates/sched/tests/core/unanswered_orders.rs
+++ b/crates/sched/tests/core/unanswered_orders.rs
@@ -23,7 +23,7 @@
 /// Maximum time that a task waits for a worker that accepts no orders, apart from its own run and its next start.
 fn max_doubt_ms() -> u64 {
     let options = Options::default();
-    options.doubt_limit_ms + options.lease_bound_ms
+    options.in_doubt_limit_ms + options.lease_bound_ms
 }
 
 /// Creates three workers, the first of which resets all orders for `time_ms`, and submits jobs.
@@ -149,7 +149,7 @@
     driver.submit(1, policy(0), vec![lasting]);
     let serving = driver.start_all();
     driver.submit(2, policy(0), vec![step(2, 2)]);
-    driver.pass(10);
+    driver.advance(10);
     driver.schedule();
     let unanswered = std::mem::take(&mut driver.starts);
     assert_eq!((serving.len(), unanswered.len()), (2, 2));
@@ -159,10 +159,10 @@
 /// Lets time pass while the workers answer renewals and serve, but accept no orders.
 fn pass_ignoring_orders(driver: &mut Driver, serving: &[StartOrder], time_ms: u64) {
     for _ in 0..time_ms / 100 {
-        driver.pass(100);
+        driver.advance(100);
         driver.renew_leases();
         for start in serving {
-            driver.hold(start.worker, &[(start.task, start.run, 100)]);
+            driver.report_running(start.worker, &[(start.task, start.run, 100)]);
         }
         for start in std::mem::take(&mut driver.starts) {
             answer(driver, &start, StartAnswer::InDoubt);
@@ -189,7 +189,7 @@
 #[test_case(2, 2; "both may be unavailable")]
 fn leases_are_let_lapse_only_within_the_unavailable_limit(limit: u32, expected: usize) {
     let (mut driver, serving) = workers_with_unanswered_starts(limit);
-    let limit_ms = Options::default().doubt_limit_ms;
+    let limit_ms = Options::default().in_doubt_limit_ms;
     pass_ignoring_orders(&mut driver, &serving, 2 * limit_ms);
     assert_eq!(count_lapsing(&driver), expected);
 }
@@ -215,7 +215,7 @@
 #[test]
 fn unanswered_starts_per_worker_are_limited() {
     for (mut driver, most) in [
-        (Driver::untried(3, 100), 2),
+        (Driver::with_untried_workers(3, 100), 2),
         (Driver::new(3, 100), STARTS_IN_FLIGHT),
     ] {
         driver.submit(1, policy(0), vec![step(100, 1)]);
@@ -230,7 +230,7 @@
 
 #[test]
 fn healthy_workers_are_filled_within_a_few_rounds_of_answers() {
-    let mut driver = Driver::untried(3, 100);
+    let mut driver = Driver::with_untried_workers(3, 100);
     driver.submit(1, policy(0), vec![step(200, 1)]);
     let mut started = 0;
     let mut answers = 0;
@@ -259,7 +259,7 @@
         }
     }
     assert_eq!(running.len(), 10);
-    driver.hold(driver.workers[0], &running);
+    driver.report_running(driver.workers[0], &running);
     driver.submit(2, policy(0), vec![step(20, 1)]);
     for _ in 0..3 {
         driver.schedule();
@@ -271,7 +271,7 @@
 #[test]
 fn an_urgent_task_does_not_wait_for_an_unresponsive_worker() {
     let mut driver = Driver::new(2, 4);
-    driver.pass(10);
+    driver.advance(10);
     driver.submit(1, policy(0), vec![step(3, 1)]);
     driver.schedule();
     let unanswered = std::mem::take(&mut driver.starts);
@@ -285,7 +285,7 @@
     driver.submit(2, policy(2), vec![patient]);
     let running = driver.start_all();
     let held: Vec<_> = running.iter().map(|s| (s.task, s.run, 50)).collect();
-    driver.hold(running[0].worker, &held);
+    driver.report_running(running[0].worker, &held);
     assert_eq!(held.len(), 4);
     driver.submit(3, policy(0), vec![step(1, 1)]);
     driver.schedule();
@@ -301,13 +301,13 @@
     for _ in 0..20 {
         driver.schedule();
         let starts = std::mem::take(&mut driver.starts);
-        driver.pass(1);
+        driver.advance(1);
         for (index, start) in starts.iter().enumerate() {
             if index % 5 < 3 {
                 answer(&mut driver, start, StartAnswer::Started);
             }
         }
-        driver.pass(300);
+        driver.advance(300);
         for (index, start) in starts.iter().enumerate() {
             if index % 5 >= 3 {
                 answer(&mut driver, start, StartAnswer::InDoubt);
@@ -315,7 +315,7 @@
         }
         driver.apply(Event::Ticked);
     }
-    assert_eq!(driver.beliefs, []);
+    assert_eq!(driver.status_changes, []);
     assert_eq!(driver.scheduler.counts(driver.now).waiting_tasks, 0);
 }
 
@@ -346,7 +346,7 @@
 #[test]
 fn unsent_starts_do_not_count_against_their_worker() {
     let mut driver = Driver::new(1, 8);
-    driver.pass(10);
+    driver.advance(10);
     driver.submit(1, policy(0), vec![step(8, 1)]);
     driver.schedule();
     let starts = std::mem::take(&mut driver.starts);
@@ -354,8 +354,8 @@
     for start in &starts {
         answer(&mut driver, start, StartAnswer::NotSent);
     }
-    assert_eq!(driver.beliefs, []);
-    driver.pass(Options::default().order_retry_ms);
+    assert_eq!(driver.status_changes, []);
+    driver.advance(Options::default().order_retry_ms);
     driver.record();
     assert_eq!(driver.start_all().len(), 8);
 }
@@ -366,9 +366,9 @@
     driver.submit(1, policy(0), vec![step(1, 2)]);
     driver.schedule();
     let first = driver.starts.remove(0);
-    driver.pass(Options::default().order_retry_ms);
+    driver.advance(Options::default().order_retry_ms);
     answer(&mut driver, &first, StartAnswer::InDoubt);
-    driver.pass(Options::default().order_retry_ms);
+    driver.advance(Options::default().order_retry_ms);
     driver.apply(Event::Ticked);
     assert_eq!(driver.starts.len(), 1);
     answer(&mut driver, &first, StartAnswer::NotSent);
@@ -396,9 +396,9 @@
     driver.submit(1, policy(0), vec![step(1, 2)]);
     driver.schedule();
     let first = driver.starts.remove(0);
-    driver.pass(Options::default().order_retry_ms);
+    driver.advance(Options::default().order_retry_ms);
     answer(&mut driver, &first, StartAnswer::InDoubt);
-    driver.pass(Options::default().order_retry_ms);
+    driver.advance(Options::default().order_retry_ms);
     driver.apply(Event::Ticked);
     driver.cancel(1);
     answer(
