--- a/crates/sched/src/stale_capacity.rs
+++ b/crates/sched/src/stale_capacity.rs
@@ -35,14 +35,14 @@
 
 impl StaleCapacity {
     /// Records a read that found the worker registered. Returns whether this confirms the recorded capacity.
-    fn is_refreshed_by(&mut self, read: RegistrationReads, told_within_ms: u64) -> bool {
+    fn is_refreshed_by(&mut self, read: RegistrationReads, confirm_after_ms: u64) -> bool {
         if read.asked_at < self.since {
             return false;
         }
         let from_ms = *self
             .readable_at_first_read_ms
             .get_or_insert(read.readable_ms);
-        read.readable_ms - from_ms >= told_within_ms
+        read.readable_ms - from_ms >= confirm_after_ms
     }
 }
 
@@ -71,12 +71,12 @@
         let gap_ms = asked_at.since(registrations.asked_at);
         registrations.readable_ms += gap_ms.min(READ_GAP_LIMIT_MS);
         registrations.asked_at = asked_at;
-        let told_within_ms = self.options.capacity_report_deadline_ms;
+        let confirm_after_ms = self.options.capacity_report_deadline_ms;
         for worker in self.workers.values_mut() {
             let Some(stale) = &mut worker.stale_capacity else {
                 continue;
             };
-            if !worker.registered || !stale.is_refreshed_by(self.registrations, told_within_ms) {
+            if !worker.registered || !stale.is_refreshed_by(self.registrations, confirm_after_ms) {
                 continue;
             }
             worker.stale_capacity = None;
--- a/crates/sched/tests/core/stale_capacity.rs
+++ b/crates/sched/tests/core/stale_capacity.rs
@@ -122,8 +122,8 @@
     let (mut driver, worker) = driver_after_long_silence();
     let answered_at = driver.now;
     driver.submit(1, policy(0), vec![step(1, 4)]);
-    let told_within_ms = Options::default().capacity_report_deadline_ms;
-    while driver.now < answered_at.plus(told_within_ms) {
+    let confirm_after_ms = Options::default().capacity_report_deadline_ms;
+    while driver.now < answered_at.plus(confirm_after_ms) {
         driver.read_workers();
         assert!(
             driver.settle().is_empty(),
@@ -141,12 +141,12 @@
 fn time_without_registration_reads_does_not_confirm_capacity() {
     let (mut driver, worker) = driver_after_long_silence();
     driver.submit(1, policy(0), vec![step(1, 4)]);
-    let told_within_ms = Options::default().capacity_report_deadline_ms;
-    driver.advance(told_within_ms);
+    let confirm_after_ms = Options::default().capacity_report_deadline_ms;
+    driver.advance(confirm_after_ms);
     driver.read_workers();
     assert!(driver.settle().is_empty());
     let read_again_at = driver.now;
-    while driver.now < read_again_at.plus(told_within_ms) {
+    while driver.now < read_again_at.plus(confirm_after_ms) {
         driver.advance(250);
         driver.report_running(worker, &[]);
         driver.read_workers();
@@ -175,11 +175,11 @@
     driver.schedule();
     driver.advance(1_000);
     let actions = driver.scheduler.schedule(driver.now);
-    let told = actions.into_iter().find_map(|action| match action {
+    let note = actions.into_iter().find_map(|action| match action {
         Action::Note(Note::Waiting { hindered, .. }) => Some(hindered),
         _ => None,
     });
-    let hindered = told.expect("a note after a second of waiting");
+    let hindered = note.expect("a note after a second of waiting");
     assert_eq!(hindered.count(UnusableReason::RoomInDoubt), 1);
     assert_eq!(hindered.to_string(), "room_in_doubt=1");
 }
