--- a/crates/sched/src/pools.rs
+++ b/crates/sched/src/pools.rs
@@ -17,7 +17,7 @@
 use crate::VmState;
 
 /// A service gets VMs after lacking capacity for this long. A move takes longer than most bursts of small tasks, and
-/// costs money.
+/// has to be paid for.
 const SHORTAGE_MS: u64 = 1_000;
 
 /// A borrowed VM is returned after it was idle for this long while half of the service's capacity is available.
--- a/crates/sched/src/usable.rs
+++ b/crates/sched/src/usable.rs
@@ -22,7 +22,7 @@
     TakesNoOrders,
     /// It is draining, or its VM is about to be taken.
     Leaving,
-    /// Its recent runs failed or were slow.
+    /// Recent starts or runs on it failed, or it was slow.
     Quarantined,
     /// It is reserved for an isolated suspect, or running one.
     KeptClear,
--- a/crates/sched/src/vms.rs
+++ b/crates/sched/src/vms.rs
@@ -28,12 +28,12 @@
     /// When the latest received list was requested.
     pub(crate) listed_at: Option<Millis>,
     asked_at: Option<Millis>,
-    /// No orders about VMs are sent before this time, so that those of a predecessor are settled by then.
+    /// No orders about VMs are sent before this time, when those of a predecessor are no longer recent.
     pub(crate) orders_allowed_from: Millis,
 }
 
 impl VmInventory {
-    /// Returns whether the list is recent enough to act on, and orders of a predecessor are settled.
+    /// Returns whether the list is recent enough to act on, and no orders of a predecessor are recent.
     pub(crate) fn can_order(&self, now: Millis) -> bool {
         let listed_at = self.listed_at;
         let is_fresh = listed_at.is_some_and(|at| now.since(at) < LIST_TIMEOUT_MS);
