--- a/crates/sched/src/retries.rs
+++ b/crates/sched/src/retries.rs
@@ -78,7 +78,7 @@
             return;
         }
         run_state.orders += 1;
-        run_state.copies += 1;
+        run_state.start_copies += 1;
         run_state.ordered_at = now;
         run_state.in_flight = true;
         let retries = run_state.orders - 1;
--- a/crates/sched/tests/core/review.rs
+++ b/crates/sched/tests/core/review.rs
@@ -94,7 +94,7 @@
         }
     }
     simulation.run_for(2 * Options::default().in_doubt_limit_ms);
-    simulation.beliefs_of(healthy).contains(&"lease_let_lapse")
+    simulation.beliefs_about(healthy).contains(&"lease_let_lapse")
 }
 
 /// A reset comes within a millisecond, and so may the next report of a worker that lists an end.
