--- a/crates/sched/src/advice.rs
+++ b/crates/sched/src/advice.rs
@@ -1,4 +1,4 @@
-//! Which workers may run a step: whom to ask about, when, and what the answers are good for.
+//! Calls to the advice service, which decides which workers may run a step.
 
 use slotmap::Key;
 use syc_types::Millis;
@@ -17,31 +17,31 @@
 use crate::scheduler::QueueStats;
 use crate::worker::fits;
 
-/// Most workers that one call may name.
+/// Largest number of workers that one call may name.
 const MAX_WORKERS_PER_CALL: usize = 100;
 
-/// Most calls about one step at a time. One after the other, the tickets of the first calls about a wide gang are too
-/// old when the last has its answer, and are asked for again.
+/// Largest number of concurrent calls for one step. If the calls for a wide gang were made one after the other, the
+/// tickets of the first ones would expire before the last one is answered, and would have to be renewed.
 const MAX_CALLS_PER_STEP: usize = 4;
 
-/// A step takes a second call, and each further one, only where so many times as many can be made: the others' calls
-/// must not wait for those of one wide gang.
+/// A step gets one concurrent call per this many free slots, and at least one, so that other steps need not wait for
+/// the calls of a wide gang.
 const SLOTS_PER_CALL: u32 = 4;
 
-/// Share of workers that is taken to be allowed before a queue has shown its own.
+/// Share of workers that is assumed to be allowed until enough answers for a queue have arrived.
 const DEFAULT_ALLOWED_SHARE: f64 = 0.4;
 
-/// Answers that the learned share of a queue looks back on, in workers asked about.
+/// Number of workers asked about after which older answers count half in the allowed share of a queue.
 const ALLOWED_SHARE_WINDOW: f64 = 400.0;
 
-/// Asked about beyond what is just enough on average.
+/// Factor by which more workers are named than are needed on average.
 const OVERSAMPLING_FACTOR: f64 = 1.6;
 
-/// Wait after a call that failed.
+/// Delay after a failed call.
 const RETRY_DELAY_MS: u64 = 40;
 
 impl Scheduler {
-    /// Returns the workers that may run a step now: each has a valid ticket, or none is needed.
+    /// Returns the workers that may run a step now. Each has a valid ticket, unless the queue needs none.
     pub(crate) fn currently_allowed_workers(
         &self,
         job: JobKey,
@@ -70,7 +70,7 @@
         allowed
     }
 
-    /// Returns the usable workers of a job's service that have the label.
+    /// Returns the usable workers of a job's service that have the required label.
     pub(crate) fn eligible_workers(
         &self,
         label: Option<&smol_str::SmolStr>,
@@ -92,7 +92,7 @@
         eligible
     }
 
-    /// Asks about a step of single tasks if a call can bring a start nearer.
+    /// Requests advice for a step of single tasks, if a call is due and there is a free slot.
     pub(crate) fn request_task_advice(&mut self, job: JobKey, step: usize, now: Millis) {
         let Some(policy) = self.advice_policy_if_due(job, step, now) else {
             return;
@@ -130,7 +130,7 @@
         self.request_advice(job, step, policy, &picked[..one_call], now);
     }
 
-    /// Asks about all workers that a gang could use, for the first time or beyond those known.
+    /// Requests advice for a gang about workers for which there is no answer yet.
     pub(crate) fn request_gang_advice(&mut self, job: JobKey, step: usize, now: Millis) {
         let Some(policy) = self.advice_policy_if_due(job, step, now) else {
             return;
@@ -156,7 +156,7 @@
         self.request_advice(job, step, policy, &picked, now);
     }
 
-    /// Returns how many workers to ask about so that those allowed could hold a gang, were they empty.
+    /// Returns how many workers to name so that the allowed ones could hold the gang if they were empty.
     fn gang_call_size(&self, job: JobKey, step: usize) -> usize {
         let job_state = &self.jobs[job];
         let spec = &job_state.steps[step].spec;
@@ -174,7 +174,7 @@
         worker_count(wanted)
     }
 
-    /// Asks again about workers whose tickets are too old.
+    /// Requests new tickets for workers whose tickets are about to expire.
     pub(crate) fn renew_tickets(
         &mut self,
         job: JobKey,
@@ -194,13 +194,13 @@
         if advice.asked_at.is_some() || now < advice.not_before {
             return None;
         }
-        // Whom to ask is worked out only where the shortest call can be made: a look that did so for each
-        // waiting step would hold up the scheduler's own answers where many wait.
+        // Candidates are selected only if there is a slot for at least the shortest call. Doing so for each of
+        // many waiting steps would delay the scheduler's own answers.
         let policy = job.spec.policy.advice?;
         self.has_free_slot(policy.call_ms(1)).then_some(policy)
     }
 
-    /// Says whether a place is free for a call.
+    /// Returns whether there is a free slot for a call.
     fn has_free_slot(&self, expected_ms: f64) -> bool {
         let slots = &self.advice_slots;
         match self.options.length_of_call(expected_ms) {
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Works out how many workers to name so that enough of them are likely to be allowed.
+    /// Returns how many workers to name so that enough of them are likely to be allowed.
     fn estimate_call_size(&self, job: JobKey, step: usize, unknown: &[(u32, WorkerKey)]) -> usize {
         let job = &self.jobs[job];
         let step_state = &job.steps[step];
@@ -259,7 +259,7 @@
         }
     }
 
-    /// Takes a free place for a call. Says whether there was one.
+    /// Takes a free slot for a call. Returns whether there was one.
     fn take_slot(&mut self, expected_ms: f64) -> bool {
         let slots = &mut self.advice_slots;
         let slot = match self.options.length_of_call(expected_ms) {
@@ -319,7 +319,7 @@
         }
     }
 
-    /// Forgets a ticket that a worker refused.
+    /// Marks a ticket that a worker refused as expired.
     pub(crate) fn expire_ticket(&mut self, worker: WorkerKey, task: TaskId, now: Millis) {
         let Some((job, step, _unit, _member)) = self.locate_task(task) else {
             return;
@@ -330,7 +330,7 @@
         }
     }
 
-    /// Gives up calls for advice that were not answered.
+    /// Abandons advice calls that were not answered in time.
     pub(crate) fn time_out_advice_calls(&mut self, now: Millis) {
         let slack_ms = self.options.advice_slack_ms;
         for key in &self.open_jobs {
@@ -365,13 +365,13 @@
     }
 }
 
-/// Returns how many whole workers a wanted number is, within what makes sense.
+/// Converts a computed number of workers to an integer, limited to a sensible range.
 fn worker_count(wanted: f64) -> usize {
     let whole = std::time::Duration::from_secs_f64(wanted.clamp(0.0, 1_000.0)).as_secs();
     usize::try_from(whole).unwrap_or(MAX_WORKERS_PER_CALL)
 }
 
-/// Picks the workers with the most room; among equals, others for each step.
+/// Picks the workers with the most capacity. The order among equals differs from step to step.
 fn largest_capacity(
     mut workers: Vec<(u32, WorkerKey)>,
     count: usize,
@@ -383,7 +383,7 @@
     workers.into_iter().map(|(_, key)| key).collect()
 }
 
-/// Spreads numbers evenly (the finalizer of splitmix64).
+/// The finalizer of splitmix64, which spreads numbers evenly.
 const fn splitmix64(number: u64) -> u64 {
     let number = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let number = (number ^ (number >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/sched/src/advice_nodes.rs
+++ b/crates/sched/src/advice_nodes.rs
@@ -1,66 +1,66 @@
-//! The nodes that call the advice service, and what each has under way there.
+//! Distributes advice calls among the nodes of the cell.
 //!
-//! The service serves one call at a time for each calling node, so the calls that can be served at once
-//! are a resource like cores. What is waiting is asked about only when a node is free: among calls that
-//! queue at the service, short ones wait behind long ones.
+//! The advice service serves one call at a time for each calling node, so concurrent calls are a limited
+//! resource. A call is made only when a node is free, because short calls that queue at the service would
+//! wait behind long ones.
 
 use std::collections::BTreeMap;
 
 use smol_str::SmolStr;
 use syc_types::Millis;
 
-/// A node that was not heard of for this long is not asked: heartbeats come several times a second.
+/// A node without a heartbeat for this long gets no calls. Heartbeats arrive several times a second.
 const HEARTBEAT_TIMEOUT_MS: u64 = 1_200;
 
-/// A node that was not heard of for this long is forgotten.
+/// A node without a heartbeat for this long is removed.
 const FORGET_AFTER_MS: u64 = 10_000;
 
-/// A node that failed to answer is not asked again for this long.
+/// A node that did not answer a call gets no further calls for this long.
 const BACKOFF_MS: u64 = 1_500;
 
-/// Short calls that a node has under way at once: the next is at the service when one is served.
+/// Concurrent short calls of a node. With two, the next call is already at the service when one completes.
 const MAX_SHORT_CALLS: u32 = 2;
 
-/// One node in so many makes short calls only, so that they never wait for a long one.
+/// One in this many nodes makes only short calls, so that they never wait for a long one.
 const NODES_PER_SHORT_ONLY: usize = 4;
 
-/// How long a call for advice is served.
+/// Whether an advice call takes a short or a long time to be served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallLength {
-    /// So short that two may be under way at one node.
+    /// Short enough that a node may make two at the same time.
     Short,
-    /// Long enough to keep short ones waiting.
+    /// Long enough to delay short calls.
     Long,
 }
 
-/// Calls for advice that can be served at once.
+/// The number of advice calls that can be made now.
 ///
-/// A call that is made when its turn has come names the workers that have room then, and the most urgent
-/// step goes first.
+/// Calls wait at the scheduler until there is a free slot, so that the most urgent step goes first and each
+/// call names workers that have capacity when it is made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AdviceSlots {
-    /// Short calls.
+    /// Free slots for short calls.
     pub short: u32,
-    /// Long calls.
+    /// Free slots for long calls.
     pub long: u32,
 }
 
 impl AdviceSlots {
-    /// As many as are wanted.
+    /// No limit on calls.
     pub const UNBOUNDED: Self = Self {
         short: u32::MAX,
         long: u32::MAX,
     };
 }
 
-/// A node that calls for advice.
+/// A node that makes advice calls.
 #[derive(Debug, Clone, Copy)]
 struct AdviceNode {
-    /// Whether it is the scheduler's own node, which is always there.
+    /// Whether this is the scheduler's own node, which needs no heartbeat.
     is_local: bool,
     last_heard_at: Millis,
     backoff_until: Millis,
-    /// Calls under way.
+    /// Calls in flight.
     short: u32,
     long: u32,
 }
@@ -107,14 +107,14 @@
     }
 }
 
-/// The nodes that call for advice, by name.
+/// The nodes that make advice calls, by name.
 #[derive(Debug, Clone, Default)]
 pub struct AdviceNodes {
     nodes: BTreeMap<SmolStr, AdviceNode>,
 }
 
 impl AdviceNodes {
-    /// Makes a list with the scheduler's own node only.
+    /// Creates a set that contains only the scheduler's own node.
     #[must_use]
     pub fn with_local(node: SmolStr, now: Millis) -> Self {
         Self {
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Takes note that another node is there. Returns whether it was not known.
+    /// Records a heartbeat of another node. Returns whether the node is new.
     pub fn note_heartbeat(&mut self, node: &SmolStr, now: Millis) -> bool {
         self.nodes.retain(|_, node_state| {
             node_state.is_local || now.since(node_state.last_heard_at) < FORGET_AFTER_MS
@@ -135,13 +135,13 @@
         true
     }
 
-    /// Says whether a node is known.
+    /// Returns whether a node is known.
     #[must_use]
     pub fn has_node(&self, node: &str) -> bool {
         self.nodes.contains_key(node)
     }
 
-    /// Counts the nodes, without the scheduler's own, that come before one in the order of names.
+    /// Counts the remote nodes whose names sort before the given one.
     #[must_use]
     pub fn remote_nodes_before(&self, node: &str) -> u32 {
         let before = self.nodes.iter().take_while(|(name, _)| *name != node);
@@ -151,7 +151,7 @@
         u32::try_from(others).unwrap_or(u32::MAX)
     }
 
-    /// Returns the calls that can be served at once.
+    /// Returns the free slots of all available nodes.
     #[must_use]
     pub fn slots(&self, now: Millis) -> AdviceSlots {
         let short_only = self.short_only_count(now);
@@ -165,7 +165,7 @@
         slots
     }
 
-    /// Picks the node with the fewest calls under way, and counts the call as given to it.
+    /// Picks the node with the most free slots and assigns the call to it.
     pub fn acquire(&mut self, length: CallLength, now: Millis) -> Option<SmolStr> {
         let short_only = self.short_only_count(now);
         let mut best: Option<(u32, SmolStr)> = None;
@@ -184,7 +184,7 @@
         Some(name)
     }
 
-    /// Takes note that a node's call is over.
+    /// Releases the slot of a call that has ended.
     pub fn release(&mut self, node: &str, length: CallLength, answered: bool, now: Millis) {
         let Some(node_state) = self.nodes.get_mut(node) else {
             return;
@@ -201,7 +201,7 @@
         nodes.filter(move |(_, node_state)| node_state.is_available(now))
     }
 
-    /// Returns how many of the available nodes, the first in the order of names, make short calls only.
+    /// Returns how many of the available nodes make only short calls. These are the first ones by name.
     fn short_only_count(&self, now: Millis) -> usize {
         let count = self.available(now).count();
         if count < 2 {
--- a/crates/sched/src/authority.rs
+++ b/crates/sched/src/authority.rs
@@ -1,36 +1,38 @@
-//! Until when a scheduler may give orders: what it is told that shows that it has no successor, and how old that is.
+//! Determines until when a scheduler may send orders, from evidence that it has not been replaced.
 //!
-//! A successor takes it that its predecessor's leases end a bounded time after its own takeover. The predecessor may
-//! stand still at any point, also between a look at the time and the sending of what that allowed, and what others had
-//! told it before comes out of its buffers when it goes on. So a lease counts from the time of the evidence, not from
-//! that at which it is sent, and evidence is as old as what this node itself had sent before it:
+//! A successor assumes that the leases set by its predecessor expire within a bounded time after its own takeover. The
+//! predecessor may be paused at any point, even between checking the time and sending the order that the check allowed,
+//! and may find old messages in its buffers when it resumes. A lease therefore starts when it is decided on, and no
+//! later than its evidence expires, regardless of when it is sent. Evidence is dated by the message of this node that
+//! it answers:
 //!
-//! - an append under the fencing token that the store took, as old as the append;
-//! - where the store takes none of anybody, what the other nodes tell that still follow this scheduler: each tells of the
-//!   last answer of this node that it had, and is as old as that. Half of those that were in touch when the store last
-//!   answered have to tell so: one that is cut off from the store beside this node can't know of a successor.
+//! - an append under the fencing token that the store accepted, dated by when the append was sent;
+//! - while the store accepts no appends, nodes that still follow this scheduler. Each reports the last answer of this
+//!   node that it received, and its evidence is dated by that answer. Half of the nodes that were in contact when the
+//!   store last answered must report, since a node that is cut off from the store together with this one cannot know of
+//!   a successor.
 
 use std::collections::BTreeMap;
 
 use smol_str::SmolStr;
 use syc_types::Millis;
 
-/// A node that told nothing for this long before the store last answered is not one of those that were in touch.
+/// A follower is dropped if it reported nothing for this long before an append that the store accepted.
 const FOLLOWER_TIMEOUT_MS: u64 = 10_000;
 
-/// The evidence that a scheduler has no successor.
+/// Evidence that a scheduler has not been replaced.
 #[derive(Debug, Clone)]
 pub struct Authority {
-    /// Time for which a piece of evidence lasts.
+    /// Time for which evidence is valid.
     validity_ms: u64,
-    /// When the latest append was sent that the store took.
+    /// When the latest append that the store accepted was sent.
     last_append_sent_at: Option<Millis>,
-    /// The latest answer of this node that each other one had.
+    /// When the latest answer of this node that each follower received was sent.
     followers: BTreeMap<SmolStr, Millis>,
 }
 
 impl Authority {
-    /// Begins without any evidence; each piece of it lasts for so long.
+    /// Creates an authority without evidence. Evidence will be valid for `validity_ms`.
     #[must_use]
     pub const fn new(validity_ms: u64) -> Self {
         Self {
@@ -40,44 +42,44 @@
         }
     }
 
-    /// Takes note that the store took an append under the fencing token that was sent at a time.
+    /// Records that the store accepted an append under the fencing token.
     pub fn note_append(&mut self, sent_at: Millis) {
         self.last_append_sent_at = self.last_append_sent_at.max(Some(sent_at));
         self.followers
             .retain(|_, acked_at| sent_at.since(*acked_at) < FOLLOWER_TIMEOUT_MS);
     }
 
-    /// Takes note that another node follows this scheduler and had an answer of it that was sent at a time.
+    /// Records that another node follows this scheduler and received an answer that was sent at `answered_at`.
     pub fn note_follower(&mut self, node: &SmolStr, answered_at: Millis) {
         let acked_at = self.followers.entry(node.clone()).or_default();
         *acked_at = (*acked_at).max(answered_at);
     }
 
-    /// Returns when the latest evidence was sent for.
+    /// Returns the date of the latest evidence.
     fn evidence_at(&self) -> Option<Millis> {
         let mut acked_at: Vec<_> = self.followers.values().copied().collect();
         acked_at.sort_unstable();
-        // The later half has told at that time or since.
+        // At least half of the followers received an answer that was sent at this time or later.
         let half_acked_at = acked_at.get(acked_at.len() / 2).copied();
         let half_acked_at = half_acked_at.filter(|at| *at > Millis(0));
         self.last_append_sent_at.max(half_acked_at)
     }
 
-    /// Returns when the evidence gets too old for any order; none where there is none yet.
+    /// Returns when the evidence expires, or `None` if there is none yet.
     #[must_use]
     pub fn expires_at(&self) -> Option<Millis> {
         Some(self.evidence_at()?.plus(self.validity_ms))
     }
 
-    /// Says whether there was evidence, which is too old now.
+    /// Returns whether there was evidence that has expired.
     #[must_use]
     pub fn is_expired(&self, now: Millis) -> bool {
         self.expires_at()
             .is_some_and(|expires_at| expires_at <= now)
     }
 
-    /// Returns the time from which a lease counts that was decided on at a time; none where the evidence is missing or
-    /// too old.
+    /// Returns the start of a lease that was decided on at `decided_at`, or `None` if the evidence is missing or has
+    /// expired.
     #[must_use]
     pub fn lease_start(&self, decided_at: Millis, now: Millis) -> Option<Millis> {
         let expires_at = self.expires_at().filter(|expires_at| now < *expires_at)?;
--- a/crates/sched/src/circuit_breaker.rs
+++ b/crates/sched/src/circuit_breaker.rs
@@ -1,9 +1,12 @@
-//! Whether a worker takes orders, which says something else than whether it answers renewals.
+//! A circuit breaker for the orders to each worker.
 //!
-//! What it is given at once is little until it has taken an order, and less with each one that it has not.
-//! One that leaves several orders in a row untaken gets no new starts, and one order at a time as a probe, until it
-//! has taken one (a circuit breaker, half open for each probe). A doubt that outlasts its bound lets the lease of
-//! the worker lapse on purpose, so that each doubt has an end that needs no answer of the worker.
+//! A worker may answer lease renewals and still accept no orders, so the two are tracked separately. The number of
+//! unanswered starts that a worker may have is small until it has accepted an order, and is halved by each failed
+//! order. After several consecutive failures the breaker trips: the worker gets no new starts and only one order at a
+//! time, as a probe, until it accepts one.
+//!
+//! If an order stays in doubt for too long, the lease of the worker is withheld. Every order in doubt is thereby
+//! resolved eventually, even if the worker never answers.
 
 use syc_retry::Budget;
 use syc_retry::backoff_ms;
@@ -20,48 +23,49 @@
 use crate::worker::Phase;
 use crate::worker::WorkerRun;
 
-/// Repeats that a worker may be sent at once, beside those that orders that it took pay for.
+/// Burst size of a worker's retry budget. Orders that the worker accepts refill the budget on top of this.
 const RETRY_BURST: u64 = 8;
 
-/// Repeats that a worker is sent a second at most, beside those that orders that it took pay for.
+/// Rate at which a worker's retry budget refills by itself, in retries per second.
 const RETRIES_PER_S: u64 = 2;
 
-/// Starts without an answer that a worker has at most before it has taken an order.
+/// Unanswered starts that a worker may have before it has accepted an order.
 const INITIAL_START_WINDOW: u32 = 2;
 
-/// Starts without an answer that a worker has at most.
+/// Unanswered starts that a worker may have once it has accepted an order.
 const MAX_START_WINDOW: u32 = 8;
 
-/// Orders about a run, or probes of its worker, before a doubt lets the lease lapse. Where others use up what the
-/// cell has for repeats, a sound worker would lose all that runs there over orders that were never sent again.
+/// Orders about a run, or probes of its worker, that must have been sent before the lease is withheld. Without this
+/// minimum, a healthy worker could lose all its runs over orders that were never retried because other workers had
+/// used up the retry budget of the cell.
 const MIN_ATTEMPTS: u32 = 3;
 
-/// A doubt lasts at most so many times its usual limit, whatever serves on the worker and however few orders were
-/// sent again.
+/// An order may stay in doubt for this multiple of the usual limit, no matter what runs on the worker and how few
+/// retries were sent.
 const HARD_LIMIT_FACTOR: u64 = 4;
 
-/// What is known of the orders to a worker.
+/// Tracks whether a worker accepts orders.
 #[derive(Debug, Clone)]
 pub(crate) struct CircuitBreaker {
-    /// Orders in a row that were not taken, each of them sent after the latest that was.
+    /// Consecutive failed orders, each sent after the latest accepted one.
     consecutive_failures: u32,
-    /// When the latest order that it took had been sent.
+    /// When the latest accepted order was sent.
     last_accepted_sent_at: Option<Millis>,
-    /// Starts without an answer that it may have, while it takes what it is sent.
+    /// Unanswered starts that the worker may have while it accepts orders.
     start_window: u32,
-    /// Whether it is believed to take no orders.
+    /// Whether the worker is believed to accept no orders.
     pub(crate) tripped: bool,
-    /// Whether it gets one start all the same, where no other order can be sent again to find out.
+    /// Whether one start is allowed as a probe, because no other order can be sent again.
     pub(crate) half_open: bool,
-    /// Whether its lease is let lapse.
+    /// Whether the lease is no longer renewed, so that it expires.
     pub(crate) withholds_lease: bool,
     pub(crate) retry_budget: Budget,
-    /// Probes since it was believed to take no orders.
+    /// Probes since the breaker tripped.
     probe_attempts: u32,
     next_probe_at: Millis,
-    /// The latest probe, while it has no answer.
+    /// When the latest probe was sent, while it is unanswered.
     probe_sent_at: Option<Millis>,
-    /// The latest run of which an order was not taken: where no run is in doubt, a stop of it does no harm.
+    /// The run whose order failed last. If no run is in doubt and this one is over, stopping it is a harmless probe.
     last_failed: Option<(TaskId, Run)>,
 }
 
@@ -82,42 +86,42 @@
         }
     }
 
-    /// Says whether it has taken an order that was sent at that time or later.
+    /// Returns whether an order that was sent at that time or later was accepted.
     fn has_accepted_since(&self, at: Millis) -> bool {
         self.last_accepted_sent_at
             .is_some_and(|accepted_at| accepted_at >= at)
     }
 
-    /// Returns how many starts without an answer it may have.
+    /// Returns how many unanswered starts the worker may have.
     pub(crate) fn max_unanswered_starts(&self) -> u32 {
         let halved = self.start_window.checked_shr(self.consecutive_failures);
         halved.unwrap_or(0).max(1)
     }
 
-    /// Takes note that the latest probe has come to something.
+    /// Records that the latest probe was answered.
     pub(crate) const fn clear_probe(&mut self) {
         self.probe_sent_at = None;
     }
 
-    /// Says whether it may be sent a start.
+    /// Returns whether a start may be sent to the worker.
     pub(crate) const fn allows_starts(&self) -> bool {
         !self.withholds_lease && (!self.tripped || self.half_open)
     }
 
-    /// Says whether an order that is in doubt was sent again often enough to be given up, or was never answered by
-    /// the node that was to send it.
+    /// Returns whether an order in doubt was retried often enough to be abandoned, or was never answered by the node
+    /// that was to send it.
     fn retries_exhausted(&self, run: &WorkerRun, limit_ms: u64, now: Millis) -> bool {
         let is_unanswered = run.in_flight && now.since(run.ordered_at) > limit_ms;
         let was_probed = self.tripped && self.probe_attempts >= MIN_ATTEMPTS;
         is_unanswered || was_probed || run.doubtful_orders() >= MIN_ATTEMPTS
     }
 
-    /// Says whether the latest order that was answered was taken.
+    /// Returns whether there is no failed order since the latest accepted one.
     pub(crate) const fn is_healthy(&self) -> bool {
         self.consecutive_failures == 0
     }
 
-    /// Lets the next probe go at once.
+    /// Resets the backoff, so that the next probe is sent immediately.
     pub(crate) const fn probe_immediately(&mut self, now: Millis) {
         self.probe_attempts = 0;
         self.next_probe_at = now;
@@ -126,8 +130,10 @@
 }
 
 impl Scheduler {
-    /// Says whether renewals may set leases on a worker. Where they may not, its lease is let lapse on
-    /// purpose: it is only asked what runs, and no [`crate::Event::Renewing`] is made.
+    /// Returns whether renewals may extend the lease of a worker.
+    ///
+    /// If not, the lease is being withheld: renewals only ask what runs on the worker, and no
+    /// [`crate::Event::Renewing`] must be sent.
     #[must_use]
     pub fn may_renew(&self, worker: WorkerKey) -> bool {
         self.workers
@@ -135,7 +141,7 @@
             .is_none_or(|worker| !worker.contact.withholds_lease)
     }
 
-    /// Takes note that a worker took an order that was sent at that time.
+    /// Records that a worker accepted an order that was sent at `sent_at`.
     pub(crate) fn order_accepted(&mut self, key: WorkerKey, sent_at: Millis, now: Millis) {
         self.retry_budget.give();
         let worker = &mut self.workers[key];
@@ -153,7 +159,7 @@
         }
     }
 
-    /// Takes note that a worker did not take an order about a run, the latest of which was sent at that time.
+    /// Records that a worker did not accept an order about a run. The latest order about it was sent at `sent_at`.
     pub(crate) fn order_failed(
         &mut self,
         key: WorkerKey,
@@ -167,7 +173,7 @@
         contact.clear_probe();
         contact.half_open = false;
         contact.last_failed = Some(task_run);
-        // Of orders that were sent together, some may be lost: those that are taken speak for the rest.
+        // Some of several concurrent orders may be lost. An accepted one shows that the worker accepts orders.
         if contact.has_accepted_since(sent_at) {
             return;
         }
@@ -196,9 +202,9 @@
         contact.next_probe_at = now.plus(wait_ms);
     }
 
-    /// Sends a worker that takes no orders one order again, or a stop of a run that is over.
+    /// Probes a worker that accepts no orders, with its oldest order in doubt or a stop of a run that is over.
     pub(crate) fn send_probe(&mut self, key: WorkerKey, now: Millis) {
-        // A node answers each order itself in the end; that none did is taken for a miss.
+        // The sending node answers every order eventually, so a probe that is unanswered for this long has failed.
         let wait_ms = self.options.in_doubt_limit_ms;
         let worker = &self.workers[key];
         let contact = &worker.contact;
@@ -215,7 +221,7 @@
             .last_failed
             .filter(|task_run| !worker.runs.contains_key(task_run));
         let Some(task_run) = oldest.or(over) else {
-            // There is no order that could be sent again: the next start is the probe.
+            // No order can be sent again, so the next start serves as the probe.
             self.workers[key].contact.half_open = true;
             return;
         };
@@ -236,7 +242,7 @@
         });
     }
 
-    /// Lets the lease of a worker lapse while it holds something that has been in doubt for too long.
+    /// Withholds the lease of a worker while one of its runs has been in doubt for too long.
     pub(crate) fn check_in_doubt_orders(&mut self, key: WorkerKey, now: Millis) {
         let limit_ms = self.options.in_doubt_limit_ms;
         let worker = &self.workers[key];
@@ -245,7 +251,7 @@
             let Some(since) = unconfirmed_since(run) else {
                 return false;
             };
-            // One that takes orders is likely to take this one, too.
+            // A worker that has accepted later orders is likely to accept this one, too.
             let patience = 1 + u64::from(contact.has_accepted_since(since));
             let in_doubt_ms = now.since(since);
             let is_late =
@@ -257,7 +263,8 @@
             since.is_some_and(|since| now.since(since) > limit_ms * HARD_LIMIT_FACTOR)
         };
         let should_withhold = worker.runs.values().any(is_overdue);
-        // Once it has begun, what serves there counts as away. A task that waits for ever is worse than too many away.
+        // Once the lease is withheld, long-running tasks on the worker already count as unavailable. Past the hard
+        // limit, exceeding the unavailability limit is preferred to a task that waits forever.
         let may_change = contact.withholds_lease
             || self.may_end_serving(key)
             || worker.runs.values().any(is_past_hard_limit);
@@ -280,10 +287,10 @@
     run.in_doubt_since().is_some()
 }
 
-/// Returns since when an order about a run has not had its effect.
+/// Returns the time since which an order about a run has had no effect.
 fn unconfirmed_since(run: &WorkerRun) -> Option<Millis> {
     if run.phase == Phase::Stopping {
-        // One that was taken has its effect within moments; the end is listed then.
+        // An accepted stop takes effect quickly, and the end is listed then.
         return run.stop_taken_at.or(Some(run.doubt_since));
     }
     run.in_doubt_since()
--- a/crates/sched/src/leadership_proof.rs
+++ b/crates/sched/src/leadership_proof.rs
@@ -1,26 +1,29 @@
-//! Which jobs may be started, since no successor can take them for new while this scheduler starts them.
+//! Restricts job starts to jobs for which the scheduler has recently proved its leadership.
 //!
-//! A scheduler that has a successor goes on until it learns so. What it starts then of a job that was stored after the
-//! successor read the store, the successor would start too. So a job is started only if the store took something of
-//! this scheduler that was sent after it learned of the job, or was sent a short time ago. A successor has the store
-//! refuse that before it reads the jobs: it has read each job that is older, and lets what is stored within that short
-//! time wait, as what it has read.
+//! A scheduler that has been replaced keeps running until it learns of its successor. If it started a job that was
+//! stored after the successor had read the store, the successor would start the job as well. A job may therefore be
+//! started only if the store accepted a write of this scheduler that was sent after the scheduler learned of the job,
+//! or that was sent a short time ago ([`crate::Options::proof_validity_ms`]).
+//!
+//! A successor fences off writes of its predecessors before it reads the jobs. It has thus read every job that a
+//! predecessor could have started on an older proof. Jobs that are stored within the validity of a proof wait like
+//! the ones it has read.
 
 use syc_types::Millis;
 
 use crate::Scheduler;
 
-/// What the store took of this scheduler last.
+/// The latest write of this scheduler that the store accepted.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LeadershipProof {
-    /// Jobs that had been added when it was sent.
+    /// Number of jobs that had been added when it was sent.
     jobs_added: u64,
-    /// When it was sent; none before the first.
+    /// When it was sent, or `None` before the first write.
     sent_at: Option<Millis>,
 }
 
 impl LeadershipProof {
-    /// Stands for one that never gets old.
+    /// Allows every job to be started at any time.
     pub(crate) const NOT_REQUIRED: Self = Self {
         jobs_added: u64::MAX,
         sent_at: None,
@@ -28,13 +31,13 @@
 }
 
 impl Scheduler {
-    /// Counts the jobs that were added since it began.
+    /// Returns the number of jobs added since this scheduler took over.
     #[must_use]
     pub const fn jobs_added(&self) -> u64 {
         self.jobs_added
     }
 
-    /// Has jobs be started by proofs only. Without a call, all may be started at any time.
+    /// Requires a proof of leadership for starting jobs. By default, none is required.
     pub const fn require_leadership_proof(&mut self) {
         self.leadership_proof = LeadershipProof {
             jobs_added: 0,
@@ -42,7 +45,7 @@
         };
     }
 
-    /// Takes note that the store took something that was sent at that time, when so many jobs had been added.
+    /// Records that the store accepted a write, sent at `sent_at` when `jobs_added` jobs had been added.
     pub const fn record_leadership_proof(&mut self, jobs_added: u64, sent_at: Millis) {
         self.leadership_proof = LeadershipProof {
             jobs_added,
@@ -50,7 +53,7 @@
         };
     }
 
-    /// Says whether some job waits for a proof, or soon will.
+    /// Returns whether a job waits for a proof of leadership, or will soon.
     #[must_use]
     pub fn needs_leadership_proof(&self, now: Millis) -> bool {
         let renew_ms = self.options.proof_validity_ms / 2;
@@ -61,7 +64,7 @@
         self.leadership_proof.jobs_added < self.jobs_added && is_old
     }
 
-    /// Says whether the job with a number among those added may be started.
+    /// Returns whether the job that was added as the given number may be started.
     pub(crate) fn may_start_job(&self, number: u64, now: Millis) -> bool {
         let is_fresh = self
             .leadership_proof
@@ -70,7 +73,7 @@
         number <= self.leadership_proof.jobs_added || is_fresh
     }
 
-    /// Tells whether the predecessors start jobs only by this rule, as those of earlier versions don't.
+    /// Sets whether all predecessors require a proof of leadership, which earlier versions do not.
     pub const fn set_predecessors_require_proof(&mut self, required: bool) {
         self.predecessors_require_proof = required;
     }
--- a/crates/sched/src/maintenance.rs
+++ b/crates/sched/src/maintenance.rs
@@ -1,4 +1,4 @@
-//! Waves of upkeep: each VM of a wave is emptied, ordered down once, and waited for.
+//! Maintenance waves. Each VM of a wave is evacuated, taken down by a recorded order, and awaited until it is back up.
 
 use std::collections::BTreeMap;
 
@@ -16,28 +16,28 @@
 use crate::WaveProgress;
 use crate::WorkerKey;
 
-/// Longest time that a VM is given to become empty.
+/// Longest time that the evacuation of a VM may take.
 const MAX_EVACUATION_MS: u64 = 15_000;
 
-/// Time beyond the upkeep itself until a VM is seen to be back.
+/// Time after the end of maintenance by which a VM is seen to be up again.
 const DETECTION_MS: u64 = 1_000;
 
-/// Where a VM of a wave is.
+/// The phase of a VM in a wave.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum VmPhase {
-    /// Nothing was done yet.
+    /// Nothing has been done yet.
     Pending,
-    /// Its work moves off, until this time at the latest.
+    /// Runs are being moved off the VM, until this time at the latest.
     Evacuating(Millis),
-    /// It is to be ordered down once the store has this change.
+    /// Maintenance will be ordered once this change is stored.
     Recording(u64),
-    /// It was ordered down at this time; whether an answer is awaited.
+    /// Maintenance was ordered at this time, and the answer may still be awaited.
     Ordered { at: Millis, awaited: bool },
-    /// Its upkeep had begun by this time.
+    /// Maintenance had begun by this time.
     Down(Millis),
-    /// It is back.
+    /// The VM is up again, or has been removed since its maintenance began.
     Finished,
-    /// It is no more, or not of the wave.
+    /// The VM no longer exists, or is not part of the wave.
     Removed,
 }
 
@@ -46,25 +46,25 @@
 pub(crate) struct ActiveWave {
     wave: Wave,
     published_at: Millis,
-    /// When this scheduler saw it.
+    /// When this scheduler first saw the wave.
     seen_at: Millis,
     phases: BTreeMap<VmId, VmPhase>,
-    /// Changes so far, and how many of them the store has.
+    /// Number of changes so far, and how many of them are stored.
     changes: u64,
     recorded: u64,
 }
 
-/// All waves that are not completed, and the numbers of those that are.
+/// All waves that are not completed, and the numbers of the completed ones.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Maintenance {
     active: BTreeMap<u64, ActiveWave>,
-    /// What a predecessor left, until the wave itself is seen.
+    /// Progress stored by a predecessor, until the wave itself is seen.
     restored: BTreeMap<u64, WaveProgress>,
     completed: std::collections::BTreeSet<u64>,
 }
 
 impl Maintenance {
-    /// Says whether the store does not have the latest of some wave.
+    /// Returns whether some wave has changes that are not stored yet.
     pub(crate) fn has_changes(&self) -> bool {
         self.active.values().any(ActiveWave::has_changes)
     }
@@ -81,7 +81,7 @@
             phases.insert(vm.clone(), VmPhase::Pending);
         }
         if let Some(stored) = stored {
-            // What was ordered may be carried out late: it is ordered again before anything else.
+            // Orders of the predecessor may still be carried out, so they are repeated first.
             for vm in &stored.ordered {
                 phases.insert(vm.clone(), VmPhase::Recording(0));
             }
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Counts the VMs that are down, or on their way there.
+    /// Counts the VMs that are down or about to go down.
     fn unavailable_count(&self) -> usize {
         let unavailable = self.phases.values().filter(|phase| {
             !matches!(
@@ -110,7 +110,7 @@
         unavailable.count()
     }
 
-    /// Counts the VMs whose upkeep has not begun.
+    /// Counts the VMs on which maintenance has not begun.
     fn remaining_count(&self) -> usize {
         let phases = self.phases.values();
         let remaining = phases.filter(|phase| {
@@ -122,7 +122,7 @@
         remaining.count()
     }
 
-    /// Returns the time that a VM may take to become empty without making the wave late.
+    /// Returns how long the evacuation of a VM may take without delaying the wave past its deadline.
     fn evacuation_limit_ms(&self, maintenance_ms: u64, now: Millis) -> u64 {
         let at_once = usize::try_from(self.wave.at_once).unwrap_or(1).max(1);
         let rounds = self.remaining_count().div_ceil(at_once).max(1);
@@ -153,7 +153,7 @@
 }
 
 impl Scheduler {
-    /// Takes what a predecessor left of a wave.
+    /// Restores the progress of a wave that a predecessor stored.
     pub fn restore_wave(&mut self, stored: WaveProgress) {
         if stored.completed {
             self.maintenance.completed.insert(stored.number);
@@ -169,7 +169,7 @@
             return;
         }
         if maintenance.completed.contains(&number) {
-            // A predecessor may have ended before it told so.
+            // The predecessor may have ended before it reported the completion.
             self.actions.push(Action::TellWave {
                 wave: number,
                 completed: true,
@@ -194,8 +194,9 @@
         });
     }
 
-    /// Returns how far each wave is whose latest change the store does not have, with the number of
-    /// the change. Each must come back in [`crate::Event::WaveRecorded`].
+    /// Returns the progress of each wave with unstored changes, and the number of its latest change.
+    ///
+    /// The caller passes each back in [`crate::Event::WaveRecorded`] once it is stored.
     #[must_use]
     pub fn wave_records(&self) -> Vec<(WaveProgress, u64)> {
         let open = self.maintenance.active.values();
@@ -221,7 +222,7 @@
         });
     }
 
-    /// Brings the waves forward.
+    /// Advances all waves.
     pub(crate) fn advance_waves(&mut self, now: Millis) {
         if self.maintenance.active.is_empty() || !self.recovery.is_settled() {
             return;
@@ -235,7 +236,7 @@
             self.advance_wave(wave, now);
             self.begin_evacuations(wave, now);
             if wave.remaining_count() == 0 && wave.changes == 0 {
-                // Nothing was left to do from the start on: its end is to be kept all the same.
+                // The wave was complete from the start, but its completion still has to be stored.
                 wave.changes = 1;
             }
         }
@@ -262,7 +263,7 @@
     ) -> Option<VmPhase> {
         let listed = self.vms.known.contains_key(vm);
         match phase {
-            // A list from before the wave was seen may lack a VM that joined since.
+            // A list requested before the wave was seen may lack VMs that joined since.
             VmPhase::Pending | VmPhase::Evacuating(_)
                 if !listed && self.vms.listed_at > Some(wave.seen_at) =>
             {
@@ -316,7 +317,7 @@
         }
     }
 
-    /// Begins to empty as many VMs as may be down; first those that lose least.
+    /// Begins to evacuate as many VMs as may be down, starting with those that lose the least work.
     fn begin_evacuations(&mut self, wave: &mut ActiveWave, now: Millis) {
         let at_once = usize::try_from(wave.wave.at_once).unwrap_or(0);
         let free = at_once.saturating_sub(wave.unavailable_count());
@@ -336,8 +337,7 @@
         }
     }
 
-    /// Says whether a worker's VM is one of a wave and has its upkeep still before it: what starts there
-    /// has to move again.
+    /// Returns whether a worker's VM waits for maintenance. Runs that start there will have to move again.
     pub(crate) fn awaits_maintenance(&self, key: WorkerKey) -> bool {
         if self.maintenance.active.is_empty() {
             return false;
@@ -349,14 +349,14 @@
         waves.any(|wave| wave.phases.get(vm) == Some(&VmPhase::Pending))
     }
 
-    /// Says whether a VM is up and does not leave by itself.
+    /// Returns whether a VM is up and not about to leave anyway.
     fn can_be_taken_down(&self, vm: &VmId) -> bool {
         let is_up = self.vms.known.get(vm).map(|info| info.state) == Some(VmState::Up);
         let worker = self.worker_on(vm).map(|key| &self.workers[key]);
         is_up && worker.is_none_or(|worker| !worker.spec.draining)
     }
 
-    /// Counts what would be lost with a VM.
+    /// Counts the runs whose progress would be lost with a VM.
     fn uncheckpointed_runs(&self, vm: &VmId) -> usize {
         let Some(key) = self.worker_on(vm) else {
             return 0;
@@ -365,7 +365,7 @@
         runs.filter(|run| !run.checkpointed).count()
     }
 
-    /// Takes the answer to an order that a VM has its upkeep.
+    /// Handles the answer to a maintenance order.
     pub(crate) fn maintenance_answered(
         &mut self,
         wave: u64,
@@ -382,7 +382,7 @@
         let next = match answer {
             VmOrderAnswer::Done => VmPhase::Down(now),
             VmOrderAnswer::Unfit => VmPhase::Removed,
-            // An earlier order may still be carried out: the VM counts as down until it is known.
+            // An earlier order may still be carried out, so the VM counts as down until the outcome is known.
             VmOrderAnswer::Busy | VmOrderAnswer::InDoubt => VmPhase::Ordered {
                 at: *at,
                 awaited: false,
--- a/crates/sched/src/options.rs
+++ b/crates/sched/src/options.rs
@@ -1,73 +1,72 @@
-//! The times and limits of a scheduler.
+//! Timeouts and limits of the scheduler.
 
 use crate::CallLength;
 
-/// Times and limits of a [`crate::Scheduler`].
+/// Timeouts and limits of a [`crate::Scheduler`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Options {
-    /// Time after sending a renewal within which the lease that it set has surely lapsed: the
-    /// lease itself, the drift of the worker's clock, and what an order may be under way.
+    /// Time after sending a renewal by which the lease it set has expired for certain: the lease itself, the
+    /// drift of the worker's clock, and the longest transit time of an order.
     pub lease_bound_ms: u64,
-    /// The same where the worker's clock may have begun anew, so that it sets the longest lease that it grants.
+    /// The same bound if the worker's clock may have restarted, in which case the worker grants its longest lease.
     pub max_lease_ms: u64,
-    /// Time that a predecessor may go on giving orders after its successor was chosen.
+    /// Time for which a predecessor may keep sending orders after its successor was elected.
     pub authority_ms: u64,
-    /// Time for which a scheduler starts what it learns of after the store took something of it.
+    /// Time after a successful write to the store for which the scheduler may start newly learned jobs.
     pub proof_validity_ms: u64,
-    /// Time that a stop takes at most on a worker.
+    /// Longest time that a worker takes to stop a run.
     pub max_stop_ms: u64,
-    /// Time for which a job's state can be asked after it has ended.
+    /// Time for which the state of a job can be queried after it has ended.
     pub ended_job_retention_ms: u64,
-    /// A start or stop order without an answer is sent again after this time: above an answer over a busy
-    /// link.
+    /// An unanswered start or stop order is sent again after this time, which is longer than an answer takes
+    /// over a busy link.
     pub order_retry_ms: u64,
-    /// A start or a stop that has been in doubt for longer lets the lease of its worker lapse on purpose: what
-    /// else runs there is lost with it, so it is longer than a few lost answers in a row take.
+    /// The lease of a worker is withheld once a start or stop has been in doubt for longer than this. All other
+    /// runs on the worker are lost with the lease, so the limit is longer than a few lost answers in a row take.
     pub in_doubt_limit_ms: u64,
-    /// Orders in a row that were not taken after which a worker gets no new starts until it has taken one.
+    /// Number of consecutive failed orders after which a worker gets no new starts until it accepts an order.
     pub order_failures_limit: u32,
-    /// Longest wait before an order is sent again to a worker that takes others.
+    /// Longest backoff before an order is sent again to a worker that accepts other orders.
     pub max_retry_delay_ms: u64,
-    /// Longest wait before a worker that takes no orders is sent one again.
+    /// Longest backoff between probes of a worker that accepts no orders.
     pub max_probe_delay_ms: u64,
-    /// Starts without an answer before the run is given up and stopped.
+    /// Number of unanswered start orders after which a run is abandoned and stopped.
     pub start_attempts_limit: u32,
-    /// A ticket is not used in the last part of its validity: the order has still to arrive.
+    /// A ticket is not used this close to its expiry, since the order has yet to arrive.
     pub ticket_margin_ms: u64,
-    /// A call for advice without an answer is given up this long after it should have ended.
+    /// Time added to the expected duration of an advice call before it is considered lost.
     pub advice_slack_ms: u64,
-    /// Calls for advice that are served within this time count as short: they have places that long
-    /// ones never take.
+    /// Advice calls that are served within this time count as short. Some slots are reserved for short calls.
     pub short_call_ms: f64,
-    /// A run that shows no progress for this long, beside a share of its estimate, has stalled.
+    /// A run has stalled if it makes no progress for this time plus a fraction of its estimate.
     pub stall_timeout_ms: u64,
-    /// Failed runs in a row, without a good one between, after which a worker is quarantined.
+    /// Number of consecutive failed runs after which a worker is quarantined.
     pub run_failures_limit: u32,
-    /// Time for which a worker is quarantined the first time; each further time doubles it.
+    /// Length of the first quarantine of a worker. Each further quarantine is twice as long.
     pub quarantine_ms: u64,
-    /// A worker that was silent for longer gets nothing new until it has told again what it has: its room may have
-    /// shrunk meanwhile.
+    /// A worker that was silent for longer gets no new runs until it has reported its capacity again, which may
+    /// have shrunk in the meantime.
     pub capacity_report_ttl_ms: u64,
-    /// A worker that is still registered after this time has told meanwhile what it has: else its registration would
-    /// have lapsed.
+    /// A worker that is still registered after this time has reported its capacity, since its registration would
+    /// have expired otherwise.
     pub capacity_report_deadline_ms: u64,
-    /// Room is kept for a unit at most this long.
+    /// Longest time for which capacity is reserved for a unit.
     pub reservation_limit_ms: u64,
-    /// A task, or a gang, that failed on some workers goes elsewhere; where there is no room it
-    /// waits this long, and then takes them again: others may never be allowed.
+    /// A task or gang avoids workers on which it failed. If no other worker has capacity, it waits this long
+    /// before using them again, since other workers may never be allowed to run it.
     pub avoid_failed_workers_ms: u64,
-    /// Time that the upkeep of a VM takes.
+    /// Time that the maintenance of a VM takes.
     pub maintenance_ms: u64,
-    /// A new scheduler gives no orders about VMs for this long: those of its predecessor are old then.
+    /// A new scheduler sends no VM orders for this long, by which time those of its predecessor are outdated.
     pub vm_order_pause_ms: u64,
-    /// Workers named in the first call for advice about a gang, at least.
+    /// Minimum number of workers in an advice call for a gang.
     pub gang_advice_workers: usize,
-    /// Workers named in the first call for advice about a single task, at least.
+    /// Minimum number of workers in the first advice call for single tasks.
     pub task_advice_workers: usize,
 }
 
 impl Options {
-    /// Says whether a call for advice that is served for so long counts as short.
+    /// Classifies an advice call by its expected duration.
     #[must_use]
     pub fn length_of_call(&self, expected_ms: f64) -> CallLength {
         if expected_ms <= self.short_call_ms {
--- a/crates/sched/src/orders.rs
+++ b/crates/sched/src/orders.rs
@@ -1,4 +1,4 @@
-//! Start and stop orders, and what comes of them.
+//! Sending of start and stop orders, and handling of their answers.
 
 use syc_types::Millis;
 
@@ -48,7 +48,7 @@
                 self.start_refused(key, task, run, refusal, now);
             }
             StartAnswer::InDoubt => self.order_failed(key, (task, run), ordered_at, now),
-            // What the node itself held back says nothing of the worker.
+            // The local node did not send the order, so the outcome says nothing about the worker.
             StartAnswer::NotSent => {
                 worker.contact.clear_probe();
                 self.start_not_sent(key, task, run, now);
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Ends a run whose start surely never left this node, unless an earlier copy did.
+    /// Ends a run whose start order was not sent, unless an earlier copy of the order was.
     fn start_not_sent(&mut self, key: WorkerKey, task: TaskId, run: Run, now: Millis) {
         let worker = &mut self.workers[key];
         let Some(run_state) = worker.runs.get_mut(&(task, run)) else {
@@ -66,7 +66,7 @@
         if run_state.copies > 0 || run_state.listed {
             return;
         }
-        // It goes elsewhere first.
+        // Prefers other workers for the next attempt.
         let until = now.plus(self.options.order_retry_ms);
         worker.quarantined_until = worker.quarantined_until.max(until);
         self.end_run(key, task, run, Ending::without_report("not_sent"), now);
@@ -84,7 +84,7 @@
         let Some(run_state) = worker.runs.get(&(task, run)) else {
             return;
         };
-        // An earlier copy of the order may have been carried out: the reports tell.
+        // An earlier copy of the order may have been executed, which the worker's reports will show.
         let in_doubt = run_state.copies > 1 && refusal == StartRefusal::OldRun;
         if in_doubt || run_state.listed {
             self.stop_run(key, task, run, StopReason::StartInDoubt, now);
@@ -94,7 +94,7 @@
             StartRefusal::Unhealthy => {
                 worker.quarantined_until = now.plus(self.options.quarantine_ms / 4);
             }
-            // Something else has room there that is not known; the next reports tell.
+            // A run that is not known yet occupies the capacity. The next reports will list it.
             StartRefusal::NoRoom => {
                 worker.quarantined_until = now.plus(self.options.order_retry_ms);
             }
@@ -109,7 +109,7 @@
             .get(&(task, run))
             .is_some_and(|run_state| run_state.copies > 1);
         if retried {
-            // The first copy of the order may still be under way.
+            // The first copy of the order may still arrive.
             self.stop_run(key, task, run, StopReason::StartInDoubt, now);
             return;
         }
@@ -117,7 +117,7 @@
         self.end_run(key, task, run, ending, now);
     }
 
-    /// Sends a start order; the lease that it sets counts from now.
+    /// Sends a start order. The lease that it sets starts now.
     pub(crate) fn send_start(
         &mut self,
         key: WorkerKey,
@@ -146,7 +146,7 @@
         }));
     }
 
-    /// Stops a run, or keeps it from ever starting; its room stays taken until it has ended.
+    /// Stops a run or prevents it from starting. Its capacity stays allocated until it has ended.
     pub(crate) fn stop_run(
         &mut self,
         key: WorkerKey,
@@ -162,7 +162,7 @@
             return;
         }
         run_state.begin_stop(now);
-        // What takes no orders gets them one at a time.
+        // A worker with a tripped breaker gets one order at a time, as a probe.
         if !self.workers[key].contact.tripped {
             self.send_stop(key, task, run, reason, now);
         }
--- a/crates/sched/src/pacing.rs
+++ b/crates/sched/src/pacing.rs
@@ -1,8 +1,10 @@
-//! Runs that fill what others leave unused, kept slow enough for those that serve users beside them.
+//! Throttles backfill runs, which use CPU that other runs leave unused, to protect the tail latency of
+//! latency-sensitive runs on the same worker.
 //!
-//! Each worker has one pace for all that fills it. It falls fast when the tail of a run that serves
-//! nears its limit, and rises slowly while there is slack. What a pair of images got along with is
-//! remembered, so that the next run starts where it disturbs least.
+//! All backfill runs of a worker share one pace, a percentage of full speed. The pace drops quickly when the
+//! tail latency of a latency-sensitive run nears its limit, and rises slowly while there is slack. The paces
+//! that pairs of images could sustain together are remembered, so that further backfill runs are placed where
+//! they interfere least.
 
 use std::collections::HashMap;
 
@@ -21,54 +23,54 @@
 use crate::worker::Worker;
 use crate::worker::WorkerRun;
 
-/// Full speed.
+/// The pace of an unthrottled run.
 const FULL_PACE: u8 = 100;
 
-/// The pace changes this often at most: reported tails are those of the last half second.
+/// Interval between changes of the pace. Reported tail latencies cover the last half second.
 const ADJUST_INTERVAL_MS: u64 = 500;
 
-/// A worker on which some runs serve and others fill is asked how they do this often.
+/// Interval between reports of a worker that has both latency-sensitive and backfill runs.
 const SHARED_REPORT_WAIT_MS: u64 = 400;
 
-/// From this share of its limit on, a tail is too long; a short burst more and it breaks the limit.
+/// From this percentage of its limit on, a tail latency is too high, since a short burst could exceed the limit.
 const HIGH_TAIL_PERCENT: u64 = 85;
 
-/// Below this share of its limit, a tail leaves slack.
+/// Below this percentage of its limit, a tail latency leaves slack.
 const LOW_TAIL_PERCENT: u64 = 65;
 
-/// A pace that is lower than this after a cut is none: too little is done to be worth the risk.
+/// A pace that is reduced below this is set to 0, since the little progress is not worth the risk.
 const MIN_PACE: u8 = 10;
 
-/// What the pace rises by at a time: from a standstill to full speed in ten seconds.
+/// Step by which the pace rises, which takes it from 0 to full speed in ten seconds.
 const PACE_INCREMENT: u8 = 5;
 
-/// An order without an answer may be carried out this much later.
+/// An unanswered order may still be carried out up to this much later.
 const MAX_ORDER_DELAY_MS: u64 = 13_000;
 
-/// Pace that two images are expected to get along with before they have met.
+/// Pace that a pair of images is expected to sustain before they have run together.
 const DEFAULT_EXPECTED_PACE: u32 = 60;
 
-/// Part of the way that what is remembered of two images moves at each step, in hundredths.
+/// Weight of a new observation in the moving average of a pair of images, in percent.
 const LEARNING_RATE_PERCENT: u32 = 20;
 
-/// A task that fills waits this long for a worker with time to spare, and then takes any.
+/// A backfill task waits this long for a worker with enough unused CPU before it accepts any worker.
 const BACKFILL_WAIT_MS: u64 = 3_000;
 
-/// What a run that fills is known to do.
+/// The throttling state of a backfill run.
 #[derive(Debug, Clone)]
 pub(crate) struct Backfill {
-    /// What it asked for, in thousandths of a core.
+    /// Requested CPU, in thousandths of a core.
     pub(crate) wanted_cpu_millis: u64,
-    /// The pace that the worker surely has; none where that is not known.
+    /// The pace that the worker has confirmed, or `None` if the pace is unknown.
     confirmed_percent: Option<u8>,
     ordered_at: Millis,
     in_flight: bool,
-    /// Until then an earlier order may still be carried out.
+    /// Until this time an earlier order may still be carried out.
     late_order_until: Millis,
 }
 
 impl Backfill {
-    /// A run goes at full speed until it is told otherwise.
+    /// Creates the state of a run that was just started, which runs at full speed.
     pub(crate) const fn started(wanted_cpu_millis: u64) -> Self {
         Self {
             wanted_cpu_millis,
@@ -79,13 +81,13 @@
         }
     }
 
-    /// Another scheduler may have told it otherwise.
+    /// Marks the pace as unknown, since another scheduler may have changed it.
     pub(crate) const fn forget_pace(&mut self) {
         self.confirmed_percent = None;
     }
 
-    /// Says whether the worker has to be told a pace: it may have another, or an order that was
-    /// given up may have come after the latest.
+    /// Returns whether a pace has to be sent, because the worker may have another one or an abandoned order
+    /// may have been carried out after the latest.
     fn needs_order(&self, percent: u8, now: Millis) -> bool {
         if self.in_flight {
             return false;
@@ -96,13 +98,13 @@
         {
             return true;
         }
-        // What was not taken, or may not have been the last to arrive, is told again, but not at once.
+        // An order that failed, or that may not have been the last to arrive, is sent again after an interval.
         let may_differ = self.confirmed_percent.is_none() || now < self.late_order_until;
         may_differ && now.since(self.ordered_at) >= ADJUST_INTERVAL_MS
     }
 }
 
-/// The pace of all that fills a worker.
+/// The pace of all backfill runs of a worker.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PaceControl {
     percent: u8,
@@ -118,7 +120,7 @@
     }
 }
 
-/// What is remembered of images that fill beside images that serve: the pace that went well.
+/// Moving averages of the pace that backfill images sustained next to latency-sensitive images.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Interference {
     paces: HashMap<(SmolStr, SmolStr), u32>,
@@ -142,7 +144,7 @@
     }
 }
 
-/// Returns the next pace, by the worst tail as a share of its limit.
+/// Returns the next pace for the worst tail latency, given as a percentage of its limit.
 fn next_pace(percent: u8, tail_percent: Option<u64>) -> u8 {
     let Some(tail_percent) = tail_percent else {
         return FULL_PACE;
@@ -159,10 +161,11 @@
     if lowered < MIN_PACE { 0 } else { lowered }
 }
 
-/// Returns the worst tail of the runs that serve, as a share of its limit; none where none serves.
+/// Returns the worst tail latency of the latency-sensitive runs as a percentage of its limit, or `None` if there are
+/// no such runs.
 fn worst_tail_percent(worker: &Worker) -> Option<u64> {
     let tails = worker.runs.values().filter_map(|run| match run.share {
-        // Until its first figure, a run counts as one with neither slack nor want.
+        // Until its first report, a run neither lowers nor raises the pace.
         Share::Serves { limit_ms, tail_ms } => Some(tail_ms.map_or(LOW_TAIL_PERCENT, |tail_ms| {
             tail_ms.saturating_mul(100) / limit_ms.max(1)
         })),
@@ -172,7 +175,7 @@
 }
 
 impl Scheduler {
-    /// Returns how long a worker may wait for an end before it reports.
+    /// Returns how long a worker may wait for a run to end before it reports.
     #[must_use]
     pub fn renewal_wait_ms(&self, worker: WorkerKey, usual_ms: u64) -> u64 {
         let Some(worker) = self.workers.get(worker) else {
@@ -180,7 +183,7 @@
         };
         let has_sensitive = worker.runs.values().any(WorkerRun::serves);
         let has_backfill = worker.runs.values().any(WorkerRun::fills);
-        // Until a suspect is known not to take its worker down, its step or its worker waits.
+        // The step or the worker of a suspect is held back until the suspect is known not to crash its worker.
         if has_sensitive && has_backfill || worker.has_suspect() {
             usual_ms.min(SHARED_REPORT_WAIT_MS)
         } else {
@@ -188,7 +191,7 @@
         }
     }
 
-    /// Sets the pace of what fills a worker by how those do that serve there.
+    /// Adjusts the pace of a worker's backfill runs to the tail latencies of its latency-sensitive runs.
     pub(crate) fn adjust_backfill_pace(&mut self, key: WorkerKey, now: Millis) {
         let worker = &mut self.workers[key];
         let backfill_runs = worker.runs.values().filter(|run| run.fills());
@@ -218,7 +221,7 @@
 
     fn send_pace_orders(&mut self, key: WorkerKey, now: Millis) {
         let worker = &mut self.workers[key];
-        // What takes no orders gets one at a time, as a probe.
+        // A worker with a tripped breaker gets one order at a time, as a probe.
         if worker.contact.tripped {
             return;
         }
@@ -269,7 +272,7 @@
         }
     }
 
-    /// Remembers which pace the images on a worker get along with.
+    /// Records the current pace for each pair of images on a worker.
     fn learn_interference(&mut self, key: WorkerKey) {
         let worker = &self.workers[key];
         let percent = worker.pace.percent;
@@ -299,8 +302,8 @@
         })
     }
 
-    /// Picks the worker on which a task that fills disturbs least and gets the most; none while it
-    /// had better wait for one with time to spare.
+    /// Picks the worker on which a backfill task gets the most CPU and interferes least, or `None` while it should
+    /// wait for a worker with more unused CPU.
     pub(crate) fn pick_backfill_worker(
         &self,
         job: JobKey,
@@ -329,7 +332,7 @@
         best.map(|(_, _, key)| key)
     }
 
-    /// Returns the pace that something of an image is expected to go at on a worker.
+    /// Returns the pace that an image is expected to sustain on a worker.
     fn expected_pace(&self, key: WorkerKey, image: &SmolStr) -> u32 {
         let mut expected = u32::from(FULL_PACE);
         for ((task, _), run_state) in &self.workers[key].runs {
--- a/crates/sched/src/retries.rs
+++ b/crates/sched/src/retries.rs
@@ -1,4 +1,4 @@
-//! Orders that were not taken, and are sent again.
+//! Retries of orders that were not accepted.
 
 use syc_retry::backoff_ms;
 use syc_types::Millis;
@@ -12,9 +12,9 @@
 use crate::worker::Phase;
 
 impl Scheduler {
-    /// Sends orders again that a worker did not take, as far as the budgets reach.
+    /// Retries the orders that a worker did not accept, as far as the retry budgets allow.
     pub(crate) fn retry_orders(&mut self, key: WorkerKey, now: Millis) {
-        // Nothing reaches one that is silent; what it was told is looked at once it answers.
+        // Orders do not reach a silent worker. They are reviewed once it responds again.
         if self.workers[key].silent {
             return;
         }
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Says whether the latest order about a run was not taken, and it is time to send it again.
+    /// Returns whether the latest order about a run has failed and its backoff has elapsed.
     fn is_retry_due(&self, key: WorkerKey, task_run: (TaskId, Run), now: Millis) -> bool {
         let options = &self.options;
         let Some(run_state) = self.workers[key].runs.get(&task_run) else {
@@ -55,7 +55,7 @@
         !run_state.in_flight && now.since(run_state.ordered_at) >= wait_ms
     }
 
-    /// Sends the order about a run again; a start that was sent often enough gives way to a stop.
+    /// Sends the latest order about a run again. A start that reached its attempt limit is replaced by a stop.
     pub(crate) fn retry_order(&mut self, key: WorkerKey, task_run: (TaskId, Run), now: Millis) {
         let (task, run) = task_run;
         let worker = &mut self.workers[key];
@@ -68,7 +68,7 @@
             self.send_stop(key, task, run, StopReason::Unwanted, now);
             return;
         }
-        // A start would set a lease, and what has no room any more must not be started.
+        // A start would set a lease, and a run whose capacity is gone must not be started.
         if withholds_lease || is_overfull || run_state.orders >= self.options.start_attempts_limit {
             run_state.begin_stop(now);
             self.send_stop(key, task, run, StopReason::StartInDoubt, now);
--- a/crates/sched/src/scheduler.rs
+++ b/crates/sched/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler of a cell: its state, the jobs in it, and what is written of them.
+//! The scheduler's state, its event handling, and the lifecycle and persistence of jobs.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -45,16 +45,16 @@
 use crate::worker::Phase;
 use crate::worker::Worker;
 
-/// Orders that may be sent again at once in a cell, beside those that orders that were taken pay for.
+/// Burst size of the cell-wide retry budget. Accepted orders refill the budget on top of this.
 const RETRY_BURST: u64 = 64;
 
-/// Orders that are sent again a second in a cell at most, beside those that orders that were taken pay for.
+/// Rate at which the cell-wide retry budget refills by itself, in retries per second.
 const RETRIES_PER_S: u64 = 20;
 
-/// A time of day that moved by less leaves the due times as they are.
+/// Wall-clock adjustments smaller than this do not change when timed jobs are due.
 const MIN_WALL_CLOCK_CHANGE_MS: u64 = 20;
 
-/// What was learned of a queue's advice.
+/// Advice statistics of a queue, from which the share of allowed workers is estimated.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct QueueStats {
     pub(crate) asked: f64,
@@ -70,30 +70,31 @@
     pub(crate) jobs: SlotMap<JobKey, Job>,
     pub(crate) job_keys: HashMap<JobId, JobKey>,
     pub(crate) registrations: Registrations,
-    /// Jobs that have not ended.
+    /// Jobs that have not ended yet.
     pub(crate) open_jobs: BTreeSet<JobKey>,
-    /// Jobs whose progress differs from what the store has.
+    /// Jobs whose progress differs from what is stored.
     pub(crate) dirty: BTreeSet<JobKey>,
-    /// Jobs that have begun since they were written: written beside others, so that a successor does not
-    /// show as queued what was shown as running.
+    /// Jobs that started since they were last written. They are written along with other records, so that a
+    /// successor does not report a job as queued that was already reported as running.
     pub(crate) started_since_recorded: BTreeSet<JobKey>,
-    /// Cancelled before the job itself was seen, and when that was.
+    /// Cancellations that arrived before their jobs, with the time of arrival.
     pub(crate) early_cancellations: BTreeMap<JobId, Millis>,
     pub(crate) queues: HashMap<SmolStr, QueueStats>,
     pub(crate) recovery: Recovery,
-    /// Runs of jobs that have not been read yet, and the time before which all that was stored has been.
+    /// Reported runs whose jobs have not been loaded yet.
     pub(crate) strays: Vec<Stray>,
+    /// All jobs that were stored before this time have been loaded.
     pub(crate) jobs_read_at: Millis,
-    /// When workers went silent that are gone, the latest ones.
+    /// The latest times at which workers went silent that were lost afterwards.
     pub(crate) recent_silences: VecDeque<Millis>,
-    /// Runs that may have reached a life of their worker that is not known yet.
+    /// Runs whose start may have reached an incarnation of the worker that is not registered yet.
     pub(crate) misdirected: Vec<Misdirected>,
-    /// Jobs that were added since this scheduler began.
+    /// Number of jobs added since this scheduler took over.
     pub(crate) jobs_added: u64,
     pub(crate) leadership_proof: LeadershipProof,
     pub(crate) predecessors_require_proof: bool,
     pub(crate) cell_clock: CellClock,
-    /// The time of day, once it was told.
+    /// The wall clock, once it is known.
     pub(crate) wall_clock: Option<DayAnchor>,
     pub(crate) headroom: Headroom,
     pub(crate) interference: Interference,
@@ -101,15 +102,15 @@
     pub(crate) maintenance: Maintenance,
     pub(crate) pools: Pools,
     pub(crate) advice_slots: AdviceSlots,
-    /// What pays for orders that are sent again, to all workers together.
+    /// Limits retries of orders to all workers together.
     pub(crate) retry_budget: Budget,
     pub(crate) actions: Vec<Action>,
-    /// Workers examined so far, to find whom to ask or where to start.
+    /// Number of workers examined so far for advice calls and placement.
     pub(crate) examined: Cell<u64>,
 }
 
 impl Scheduler {
-    /// Makes a scheduler that knows nothing yet.
+    /// Creates a scheduler without workers or jobs.
     #[must_use]
     pub fn new(options: Options) -> Self {
         Self {
@@ -146,16 +147,16 @@
         }
     }
 
-    /// Returns the times and limits that it works by.
+    /// Returns the timeouts and limits in use.
     #[must_use]
     pub const fn options(&self) -> &Options {
         &self.options
     }
 
-    /// Takes an event and returns what is to be done at once.
+    /// Applies an event and returns the resulting actions.
     ///
-    /// Waiting tasks are looked at by [`Scheduler::schedule`] only, so that several events share
-    /// one look.
+    /// Waiting tasks are only placed by [`Scheduler::schedule`], so that several events can share one
+    /// scheduling pass.
     pub fn handle(&mut self, event: Event, now: Millis) -> Vec<Action> {
         match event {
             Event::WorkerListed(spec) => self.worker_listed(spec, now),
@@ -212,12 +213,14 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Says how many calls for advice the next look at the waiting tasks may make.
+    /// Sets how many advice calls the next scheduling pass may make.
     pub const fn set_advice_slots(&mut self, slots: AdviceSlots) {
         self.advice_slots = slots;
     }
 
-    /// Returns the state of a job as the store has it, or none where no such job is known.
+    /// Returns the stored state of a job, or `None` if the job is unknown.
+    ///
+    /// A job that has started is reported as running even before that is stored.
     #[must_use]
     pub fn state_of(&self, id: JobId) -> Option<JobState> {
         let key = self.job_keys.get(&id)?;
@@ -228,15 +231,15 @@
         Some(job.shown)
     }
 
-    /// Returns the queue of a job.
+    /// Returns the queue that a job belongs to.
     #[must_use]
     pub fn queue_of(&self, id: JobId) -> Option<&SmolStr> {
         let key = self.job_keys.get(&id)?;
         Some(&self.jobs[*key].spec.policy.queue)
     }
 
-    /// Counts the open jobs of a queue of which no worker has told that a task began: those whose
-    /// first start is still in doubt wait, as far as anybody knows.
+    /// Counts the open jobs of a queue for which no worker has confirmed a start. Jobs whose first start is
+    /// in doubt are included.
     #[must_use]
     pub fn pending_jobs(&self, queue: &str) -> usize {
         let open = self.open_jobs.iter().map(|key| &self.jobs[*key]);
@@ -244,30 +247,31 @@
             .count()
     }
 
-    /// Counts the workers examined so far, to find whom to ask or where to start: the greatest part of
-    /// what a look costs.
+    /// Returns the number of workers examined so far for advice calls and placement, which dominates the cost
+    /// of a scheduling pass.
     #[must_use]
     pub const fn examined_workers(&self) -> u64 {
         self.examined.get()
     }
 
-    /// Says whether at least half of the workers answer.
+    /// Returns whether at least half of the workers respond.
     #[must_use]
     pub fn half_of_workers_respond(&self) -> bool {
         let silent = self.workers.values().filter(|worker| worker.silent);
         silent.count() * 2 <= self.workers.len()
     }
 
-    /// Says whether some progress is not in the store yet.
+    /// Returns whether some progress has not been stored yet.
     #[must_use]
     pub fn has_unrecorded_changes(&self) -> bool {
         !self.dirty.is_empty() || self.maintenance.has_changes()
     }
 
-    /// Takes the progress of the jobs that changed, and then of those that have begun, each with the number of
-    /// the change that it includes.
+    /// Takes the progress of changed jobs, then of jobs that started, each with the number of the last change
+    /// that it includes.
     ///
-    /// The token of its version is for the caller to fill in. Each must come back in [`Event::Recorded`] once the store has it.
+    /// The caller fills in the token of the version, and passes each record back in [`Event::Recorded`] once it
+    /// is stored.
     pub fn take_records(
         &mut self,
         limit: usize,
@@ -301,8 +305,11 @@
         Some(changed)
     }
 
-    /// Returns the number of the latest end that a worker is to be told that it may forget, and whether ends are left
-    /// that the store has not taken yet. It is 0 where that was told already, or another life of the worker may hear it.
+    /// Returns the number of the latest run end that a worker may forget, and whether there are ends that are not
+    /// stored yet.
+    ///
+    /// The number is 0 if it was already acknowledged, or if the acknowledgement could reach another incarnation
+    /// of the worker.
     pub fn acknowledged_ends(&mut self, worker: WorkerKey) -> (u64, bool) {
         let Self {
             workers,
@@ -322,7 +329,7 @@
             if strays.any(|stray| stray.told.task().step.job == id) {
                 return 0;
             }
-            // Of a job that is forgotten, nothing has to be kept.
+            // The job was removed, so its ends need not be kept.
             u64::MAX
         };
         worker.acknowledge_ends(recorded);
@@ -330,7 +337,7 @@
         (worker.next_acknowledgement(), left)
     }
 
-    /// Tells the time of day, by which timed jobs are due.
+    /// Sets the wall clock, which determines when timed jobs are due.
     pub fn set_wall_clock(&mut self, day: DayAnchor) {
         let moved = self
             .wall_clock
@@ -344,14 +351,14 @@
         }
     }
 
-    /// Returns the name of a worker.
+    /// Returns the id of a worker.
     #[must_use]
     pub fn name_of(&self, worker: WorkerKey) -> Option<WorkerId> {
         let worker = self.workers.get(worker)?;
         Some(worker.spec.id.clone())
     }
 
-    /// Adds a job that a predecessor left, with what it kept of it.
+    /// Adds a job of a predecessor, with its stored progress if there is any.
     pub fn restore_job(
         &mut self,
         spec: JobSpec,
@@ -375,7 +382,7 @@
     fn add_job(&mut self, spec: JobSpec, age_ms: u64, now: Millis) {
         let id = spec.id;
         if let Some(key) = self.job_keys.get(&id) {
-            // A repeated submit of a job that has ended leaves its specification behind.
+            // A repeated submit stored the specification of an ended job again.
             if self.jobs[*key].shown.is_terminal() {
                 self.actions.push(Action::DropSpec(id));
             }
@@ -408,7 +415,7 @@
         };
         let job = &self.jobs[key];
         if job.shown.is_terminal() {
-            // A cancelling that comes after the end leaves its record behind.
+            // The cancellation arrived after the end and left a record in the store.
             self.actions.push(Action::DropSpec(id));
         }
         if job.state.is_terminal() {
@@ -417,7 +424,7 @@
         self.end_job(key, JobState::Cancelled, now);
     }
 
-    /// Marks a job as changed and returns the number of the change.
+    /// Marks a job as changed and returns the change number.
     pub(crate) fn mark_changed(&mut self, key: JobKey) -> u64 {
         let job = &mut self.jobs[key];
         job.changes += 1;
@@ -425,7 +432,7 @@
         job.changes
     }
 
-    /// Ends a job: what runs of it is stopped, and nothing of it starts any more.
+    /// Ends a job: stops its runs and prevents further starts.
     pub(crate) fn end_job(&mut self, key: JobKey, state: JobState, now: Millis) {
         let job = &mut self.jobs[key];
         job.state = state;
@@ -440,7 +447,7 @@
         self.open_jobs.remove(&key);
         self.release_reservations(key);
         self.mark_changed(key);
-        // The members of a gang that is done end by themselves.
+        // Remaining members of a completed gang end by themselves.
         if state != JobState::Completed {
             self.stop_runs_of(id, now);
         }
@@ -483,7 +490,7 @@
         }
     }
 
-    /// Lets the outcomes take effect that the store has.
+    /// Applies the unit outcomes that are now stored.
     fn apply_recorded_outcomes(&mut self, key: JobKey) {
         let job = &mut self.jobs[key];
         let recorded = job.recorded;
@@ -507,7 +514,7 @@
         }
     }
 
-    /// Finds the job, step, unit and member of a task.
+    /// Returns the job, step, unit and gang member of a task.
     pub(crate) fn locate_task(&self, task: TaskId) -> Option<(JobKey, usize, usize, usize)> {
         let key = *self.job_keys.get(&task.step.job)?;
         let index = self.jobs[key].index_of(task.step)?;
--- a/crates/sched/src/tick.rs
+++ b/crates/sched/src/tick.rs
@@ -1,4 +1,4 @@
-//! What time alone shows: lapsed leases, unanswered orders, stalled runs, workers to quarantine.
+//! Periodic checks for expired leases, unanswered orders, stalled runs and failing workers.
 
 use syc_types::Millis;
 
@@ -8,18 +8,18 @@
 use crate::reports::belief;
 use crate::worker::Phase;
 
-/// Most times that the time for which a worker is quarantined doubles.
+/// Largest number of times that the quarantine of a worker is doubled.
 const QUARANTINE_DOUBLINGS: u32 = 3;
 
 impl Scheduler {
-    /// Looks at everything that time alone changes.
+    /// Performs all periodic checks.
     pub(crate) fn tick(&mut self, now: Millis) {
         self.recover(now);
         self.give_up_strays(now);
         self.give_up_misdirected(now);
         self.watch_headroom();
         let mut keys: Vec<_> = self.workers.keys().collect();
-        // Whoever comes first may use up what the cell has for repeats.
+        // The first worker may use up the retry budget of the cell, so the order rotates.
         let turn = usize::try_from(now.0).unwrap_or(0) % keys.len().max(1);
         keys.rotate_left(turn);
         for key in keys {
@@ -34,8 +34,7 @@
         self.forget_old(now);
     }
 
-    /// Takes what ran on a worker as ended once its leases have surely lapsed: it is silent, or they are let
-    /// lapse on purpose.
+    /// Ends the runs of a worker that is silent, or whose lease is withheld, once its lease has expired for certain.
     pub(crate) fn expire_lease(&mut self, key: WorkerKey, now: Millis) {
         let worker = &self.workers[key];
         if (worker.silent || worker.contact.withholds_lease) && worker.lapse_at <= now {
@@ -44,7 +43,7 @@
         self.detach_if_over(key, now);
     }
 
-    /// Stops runs that stand still, and quarantines their worker.
+    /// Stops stalled runs and quarantines their worker.
     fn check_progress(&mut self, key: WorkerKey, now: Millis) {
         let worker = &self.workers[key];
         if worker.silent {
@@ -76,12 +75,13 @@
         self.quarantine(key, "stalls", now);
     }
 
-    /// Returns how long a run of a step may show no progress: one percent of it is a hundredth of
-    /// its work, and its estimate may be off by half or more.
+    /// Returns how long a run of a step may show no progress.
+    ///
+    /// Progress is reported in steps of one percent of the work, and estimates may be off by half or more.
     fn stall_timeout_ms(&self, step: crate::StepId) -> u64 {
         let job = self.job_keys.get(&step.job).map(|key| &self.jobs[*key]);
         let step_spec = job.and_then(|job| job.spec.steps.get(usize::from(step.step)));
-        // What fills may get nothing for a while, and is none the worse for it.
+        // A backfill run may legitimately get no CPU for a while.
         if step_spec.is_some_and(|spec| spec.long_running || spec.fills) {
             return u64::MAX;
         }
@@ -89,7 +89,7 @@
         self.options.stall_timeout_ms + estimate_ms / 10
     }
 
-    /// Quarantines a worker that fails all that it starts.
+    /// Quarantines a worker after several consecutive failed runs.
     pub(crate) fn quarantine_if_failing(&mut self, key: WorkerKey, now: Millis) {
         let worker = &self.workers[key];
         if worker.failures_in_row < self.options.run_failures_limit {
@@ -111,7 +111,7 @@
         self.actions.push(note);
     }
 
-    /// Moves what can go on elsewhere off a worker that is about to leave.
+    /// Stops the checkpointed runs of a worker that is about to leave, so that they continue elsewhere.
     pub(crate) fn evacuate_draining_worker(&mut self, key: WorkerKey, now: Millis) {
         let note = belief(&self.workers[key], "draining", now);
         self.actions.push(note);
--- a/crates/sched/src/vm_operation.rs
+++ b/crates/sched/src/vm_operation.rs
@@ -1,4 +1,4 @@
-//! What a scheduler does with whole VMs: upkeep in waves, and moves between pools.
+//! Operations on whole VMs: maintenance in waves, and moves between pools.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,71 +7,71 @@
 use syc_types::VmId;
 use syc_types::WorkerId;
 
-/// VMs that operators want to have their upkeep.
+/// A set of VMs for which operators requested maintenance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Wave {
-    /// Its number.
+    /// The number of the wave.
     pub number: u64,
-    /// The VMs.
+    /// The VMs in the wave.
     pub vms: Vec<VmId>,
-    /// Time in which all should have begun it, from when the wave was published.
+    /// Time after publication within which maintenance should have begun on all VMs.
     pub limit_ms: u64,
-    /// Most of them that may be down at a time.
+    /// Largest number of VMs that may be down at the same time.
     pub at_once: u32,
 }
 
-/// How far a wave is; kept in the store.
+/// The stored progress of a wave.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WaveProgress {
     /// Number of the wave.
     pub number: u64,
-    /// VMs whose upkeep was ordered, and may have begun.
+    /// VMs for which maintenance was ordered, and may have begun.
     pub ordered: Vec<VmId>,
-    /// VMs whose upkeep has begun.
+    /// VMs for which maintenance has begun.
     pub begun: Vec<VmId>,
-    /// Whether nothing is left to do.
+    /// Whether maintenance has begun on every remaining VM.
     pub completed: bool,
 }
 
-/// What a VM is doing.
+/// The state of a VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VmState {
-    /// It runs, or could.
+    /// The VM is running or ready to run.
     Up,
-    /// It goes to another pool.
+    /// The VM is moving to another pool.
     Moving,
-    /// It has its upkeep.
+    /// The VM is under maintenance.
     Maintenance,
-    /// It is down.
+    /// The VM is down.
     Down,
 }
 
 /// A VM as the platform lists it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VmInfo {
-    /// Its name.
+    /// The id of the VM.
     pub id: VmId,
-    /// The service whose pool it is in.
+    /// The service whose pool the VM is in.
     pub pool: ServiceName,
-    /// What it is doing.
+    /// The state of the VM.
     pub state: VmState,
-    /// What it has.
+    /// The resources of the VM.
     pub capacity: Resources,
-    /// The worker on it, if any.
+    /// The worker on the VM, if any.
     pub worker: Option<WorkerId>,
 }
 
-/// What can be done with a VM. All that runs on it ends at once.
+/// An operation on a VM. All runs on the VM end immediately.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum VmOperation {
-    /// It has its upkeep, as one of a wave.
+    /// Maintenance as part of a wave, called `upkeep` on the wire and in logs.
     Maintenance {
-        /// Number of the wave.
+        /// The number of the wave.
         wave: u64,
     },
-    /// It goes to the pool of a service.
+    /// A move to the pool of another service.
     Move {
-        /// The service.
+        /// The service that gets the VM.
         pool: ServiceName,
     },
 }
@@ -87,16 +87,16 @@
     }
 }
 
-/// What an order about a VM came to.
+/// The answer to a VM order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VmOrderAnswer {
-    /// It is done, now or by an earlier order.
+    /// The operation was carried out, by this order or an earlier one.
     Done,
-    /// The VM is not up, or leaves.
+    /// The VM is not up, or is about to leave.
     Busy,
-    /// It is not one of the wave, or can't be in the pool, or there is no such VM.
+    /// The VM does not exist, is not part of the wave, or is not eligible for the pool.
     Unfit,
-    /// It may be done, now or later.
+    /// The operation may have been carried out, or may be later.
     InDoubt,
 }
 
@@ -113,33 +113,33 @@
     }
 }
 
-/// A decision about whole VMs that the log should tell.
+/// A decision about VMs to be logged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum VmNote {
-    /// Operators want VMs to have their upkeep.
+    /// A published wave was seen for the first time.
     WaveSeen {
-        /// The wave.
+        /// The number of the wave.
         wave: u64,
-        /// VMs in it.
+        /// Number of VMs in the wave.
         vms: usize,
-        /// Most of them that may be down at a time.
+        /// Largest number of VMs that may be down at the same time.
         at_once: u32,
-        /// Time in which all should have begun.
+        /// Time within which maintenance should have begun on all VMs.
         limit_ms: u64,
-        /// Those that have, under a predecessor.
+        /// Number of VMs on which maintenance had begun under a predecessor.
         begun: usize,
     },
-    /// A service has too little room, or more than it needs, for so long that VMs move.
+    /// A service has had too little or too much capacity for long enough that a VM is moved.
     PoolChange {
         /// The service.
         service: ServiceName,
-        /// The VM.
+        /// The VM that moves.
         vm: VmId,
-        /// Whether it comes to the service, or goes back.
+        /// Whether the VM is lent to the service, or goes back.
         comes: bool,
-        /// Processor time that waiting tasks ask for, in thousandths of a core.
+        /// CPU that waiting tasks request, in thousandths of a core.
         waiting_cpu_millis: u64,
-        /// Processor time that is free, in thousandths of a core.
+        /// Free CPU, in thousandths of a core.
         free_cpu_millis: u64,
     },
 }
--- a/crates/sched/tests/core/advice.rs
+++ b/crates/sched/tests/core/advice.rs
@@ -1,4 +1,4 @@
-//! Calls for advice: how many, for whom first.
+//! Tests how many advice calls are made, and for which steps first.
 
 use syc_sched::AdvicePolicy;
 use syc_sched::AdviceSlots;
--- a/crates/sched/tests/core/authority.rs
+++ b/crates/sched/tests/core/authority.rs
@@ -1,4 +1,4 @@
-//! Until when a scheduler may give orders, and from when the leases count that it sets.
+//! Tests until when a scheduler may send orders, and when the leases that it sets start.
 
 use smol_str::SmolStr;
 use syc_sched::Authority;
@@ -10,7 +10,7 @@
     SmolStr::from(format!("n-{number}"))
 }
 
-/// Returns what is known once the store took an append at a time, with so many nodes that follow.
+/// Returns an authority with evidence from an append and from `others` followers, all dated `at`.
 fn authority_with_followers(others: u64, at: Millis) -> Authority {
     let mut authority = Authority::new(AUTHORITY_MS);
     for number in 0..others {
@@ -27,7 +27,7 @@
     assert_eq!(from, Some(Millis(10_500)));
 }
 
-/// Its order waited all the while, or it stood still with it.
+/// The order was delayed, or the scheduler was paused between the decision and sending it.
 #[test]
 fn delayed_lease_starts_at_its_decision() {
     let mut authority = authority_with_followers(0, Millis(10_000));
@@ -52,7 +52,7 @@
     assert!(!authority.is_expired(Millis(60_000)));
 }
 
-/// The store is away for all: what was accepted goes on.
+/// The store is unavailable to all nodes, and accepted jobs keep running.
 #[test]
 fn followers_are_evidence_while_the_store_is_unavailable() {
     let mut authority = authority_with_followers(4, Millis(10_000));
@@ -65,7 +65,7 @@
     }
 }
 
-/// Cut off from the store together, they can't know of a successor.
+/// Nodes that are cut off from the store together cannot know of a successor.
 #[test]
 fn a_minority_of_followers_is_not_evidence() {
     let mut authority = authority_with_followers(4, Millis(10_000));
@@ -75,7 +75,7 @@
     assert!(authority.is_expired(Millis(13_000)));
 }
 
-/// It was under way, or lay in a buffer, while this node stood still.
+/// The report was in transit or buffered while this node was paused.
 #[test]
 fn follower_evidence_is_dated_by_the_acknowledged_answer() {
     let mut authority = authority_with_followers(1, Millis(10_000));
--- a/crates/sched/tests/core/maintenance.rs
+++ b/crates/sched/tests/core/maintenance.rs
@@ -1,4 +1,4 @@
-//! Waves of upkeep, by hand.
+//! Tests of maintenance waves.
 
 use syc_sched::Action;
 use syc_sched::Event;
@@ -51,7 +51,7 @@
     listed.collect()
 }
 
-/// Lets time pass in steps, with a list that shows these VMs down and a store that takes everything.
+/// Advances time in steps. VM lists show the given VMs as down, and the store accepts all writes.
 fn pass(driver: &mut Driver, vms: usize, down: &[usize], time_ms: u64) {
     for _ in 0..time_ms / 100 {
         driver.pass(100);
@@ -76,7 +76,8 @@
     });
 }
 
-/// Returns the tasks that were told to go elsewhere; a stop without an answer is given again.
+/// Returns the tasks that were stopped in order to move elsewhere. Unanswered stops are sent again, so a task may be
+/// listed more than once.
 fn evacuated_tasks(driver: &Driver) -> Vec<TaskId> {
     let stops = driver.stops.iter();
     let moving = stops.filter(|stop| stop.reason == StopReason::Emptying);
@@ -141,7 +142,7 @@
     assert_eq!(ordered(&mut driver), [vm(1)]);
 }
 
-/// A predecessor may have ended between keeping that a wave is completed and telling it.
+/// The predecessor may have ended between storing the completion of a wave and reporting it.
 #[test]
 fn successor_reports_a_completed_wave_again() {
     let mut driver = Driver::new(3, 4);
@@ -167,7 +168,7 @@
     answer(&mut driver, vm(0), VmOrderAnswer::Done);
     pass(&mut driver, 2, &[0], 300);
     assert_eq!(driver.told, [(WAVE, false)]);
-    // The other one leaves for good.
+    // The other VM is removed.
     pass(&mut driver, 1, &[0], 300);
     answer(&mut driver, vm(1), VmOrderAnswer::InDoubt);
     pass(&mut driver, 1, &[0], 2_000);
@@ -228,18 +229,18 @@
     });
     pass(&mut driver, 2, &[], 10_000);
     let moving = evacuated_tasks(&driver);
-    assert_eq!(moving.len(), 1, "one is away, and no more may be");
+    assert_eq!(moving.len(), 1, "one is unavailable, which is the limit");
     assert_eq!(ordered(&mut driver), []);
 }
 
-/// Work that moves to the next VM of the wave has to move again, at each of them.
+/// Runs that move to a VM that is still waiting for maintenance would have to move again.
 #[test]
 fn starts_prefer_vms_that_finished_maintenance() {
     let mut driver = published(3, 1);
     pass(&mut driver, 3, &[], 4_000);
     assert_eq!(ordered(&mut driver), [vm(0)]);
     answer(&mut driver, vm(0), VmOrderAnswer::Done);
-    // The next life of the first VM is there before the second goes down.
+    // The first VM is back with a new worker before the second goes down.
     driver.apply(Event::WorkerListed(WorkerSpec {
         id: WorkerId::new("w-0-again"),
         ..worker(0, 4)
@@ -267,8 +268,8 @@
     assert_eq!(asked, 0);
 }
 
-/// A worker that answers no more keeps its tasks for as long as its lease may hold. Counted as at work all the
-/// while, they would let a second task of their step be stopped while their users have no answer.
+/// A worker that stops responding keeps its tasks until its lease expires. If they counted as available until then,
+/// a second task of the step could be stopped.
 #[test]
 fn task_on_a_silent_worker_counts_as_unavailable() {
     let mut driver = Driver::new(3, 4);
@@ -302,20 +303,24 @@
         }
         pass(&mut driver, 3, &[], 100);
     }
-    assert_eq!(evacuated_tasks(&driver), [], "one of three is away already");
+    assert_eq!(
+        evacuated_tasks(&driver),
+        [],
+        "one of three is already unavailable"
+    );
     driver.hold(lost.worker, &[(lost.task, lost.run, 100)]);
     pass(&mut driver, 3, &[], 100);
     assert_eq!(evacuated_tasks(&driver).len(), 1);
 }
 
-/// A list that is slow to come shows what was so when it was asked for. Dated by the question that followed it,
-/// it would show a VM as back that has only just gone down, and the next one would follow it.
+/// A delayed VM list shows the state when it was requested. If it were dated by a later request, a VM that has just
+/// gone down would appear to be back, and the next one would be taken down.
 #[test]
 fn late_vm_list_is_dated_by_its_own_request() {
     let mut driver = published(2, 1);
     pass(&mut driver, 2, &[], 4_000);
     assert_eq!(ordered(&mut driver), [vm(0)]);
-    // The next list is asked for before the order is carried out, and comes after another was asked for.
+    // The list is requested before the order is carried out, and arrives after another list was requested.
     driver.pass(600);
     driver.apply(Event::Ticked);
     let first_asked_at = driver.now;
@@ -339,8 +344,8 @@
     assert_eq!(ordered(&mut driver), [], "the first is still down");
 }
 
-/// A list that was asked for before a wave was seen may lack a VM that joined since. Taken as gone, it would
-/// be left out, and the wave be said to be completed.
+/// A list that was requested before a wave was seen may lack a VM that joined since. If the VM were considered removed,
+/// the wave would be reported as completed without it.
 #[test]
 fn vm_list_older_than_the_wave_removes_no_vms() {
     let mut driver = published(1, 1);
@@ -360,5 +365,8 @@
     driver.record();
     assert!(!driver.told.contains(&(WAVE + 1, true)));
     pass(&mut driver, 1, &[], 1_000);
-    assert!(driver.told.contains(&(WAVE + 1, true)), "now it is gone");
+    assert!(
+        driver.told.contains(&(WAVE + 1, true)),
+        "the VM is removed now"
+    );
 }
--- a/crates/sched/tests/core/proof.rs
+++ b/crates/sched/tests/core/proof.rs
@@ -1,7 +1,7 @@
-//! Jobs that are started only by what the store took of their scheduler.
+//! Tests that jobs are started only with a proof of leadership.
 //!
-//! A successor had jobs wait for seconds that were submitted after its takeover, where one worker did not answer: its
-//! predecessor might have read and started them. One that starts nothing without a proof can't have.
+//! Without the proof, a successor had to delay jobs submitted after its takeover for seconds while a worker did not
+//! respond, because its predecessor might have read and started them.
 
 use syc_sched::Event;
 use syc_sched::Options;
@@ -32,7 +32,7 @@
     assert_eq!(started(&mut driver), [1, 2]);
     driver.now = sent_at.plus(authority_ms);
     driver.submit(3, policy(0), vec![step(1, 1)]);
-    assert!(started(&mut driver).is_empty(), "the proof is too old");
+    assert!(started(&mut driver).is_empty(), "the proof has expired");
     let sent_with = driver.scheduler.jobs_added();
     driver
         .scheduler
@@ -41,12 +41,12 @@
     assert_eq!(
         started(&mut driver),
         [3],
-        "it was sent after the job was learned of"
+        "the write was sent after the job was learned of"
     );
 }
 
-/// After a takeover in which one worker does not answer, what predecessors may have started waits for it, and what
-/// came later does not.
+/// After a takeover in which one worker does not respond, jobs that a predecessor may have started wait for the worker,
+/// and later jobs do not.
 #[test_case(false, Options::default().authority_ms; "predecessors that start without a proof")]
 #[test_case(true, Options::default().proof_validity_ms + 50; "predecessors that require a proof")]
 fn what_came_after_a_takeover_waits_only_while_predecessors_may_start_it(
--- a/crates/sched/tests/core/review.rs
+++ b/crates/sched/tests/core/review.rs
@@ -1,10 +1,12 @@
-//! What a worker that is believed to take no orders is sent, and what becomes of sound ones beside such workers.
+//! Tests of workers that accept no orders, and of healthy workers next to them.
 //!
-//! Such a worker is probed with the oldest run in doubt, or with a stop of the latest run of which an order was not
-//! taken, if that run is over. Where that one runs, there is nothing to probe with: the worker gets nothing new for as
-//! long as it runs. The repeats to such workers use up what the cell has for all: a sound worker that lost a few
-//! stops does not get them again in time, and its lease is let lapse with all that runs there. Orders about the pace
-//! of a run know neither the belief nor a budget nor a wait.
+//! These guard against the following failures:
+//!
+//! - A worker is probed with its oldest order in doubt, or by stopping the run whose order failed last if that run is
+//!   over. If that run was still running, there was nothing to probe with, and the worker got nothing new.
+//! - Retries to such workers used up the retry budget of the cell. A healthy worker that had lost a few stops did not
+//!   get them again in time, and its lease was withheld although other tasks ran there.
+//! - Pace orders ignored the circuit breaker, the retry budget and the backoff.
 
 use std::collections::BTreeMap;
 
@@ -28,8 +30,8 @@
     });
 }
 
-/// The answer to the start of a long run is lost, a report lists it, and the starts after it never leave the node:
-/// no order is in doubt.
+/// The answer to the start of a long run is lost but a report lists the run, and the following starts are never sent,
+/// so that no order is in doubt.
 #[test]
 fn worker_without_in_doubt_orders_is_probed_and_used_again() {
     let mut driver = Driver::new(1, 64);
@@ -62,7 +64,7 @@
     );
 }
 
-/// Many workers take no orders, and one loses the orders of half a second: what it runs is not to be lost with theirs.
+/// Many workers accept no orders, and one only loses the orders of half a second. It must not lose its runs.
 #[test]
 fn healthy_worker_keeps_its_lease_while_others_use_up_the_retry_budget() {
     let mut lapsed: Vec<usize> = Vec::new();
@@ -74,7 +76,8 @@
     assert!(lapsed.is_empty(), "{lapsed:?}");
 }
 
-/// Says whether the lease of the only sound worker is let lapse. Of the four tasks of each, three are cancelled.
+/// Returns whether the lease of the only healthy worker is withheld. Three of the four tasks on each worker are
+/// cancelled.
 fn healthy_worker_loses_lease(workers: usize, healthy: usize) -> bool {
     let mut site = Site::new(workers, 4);
     site.work_ms = 60_000;
@@ -97,7 +100,7 @@
     site.beliefs_of(healthy).contains(&"lease_let_lapse")
 }
 
-/// A reset comes within a millisecond, and so may the next report of a worker that lists an end.
+/// An order may be reset within a millisecond, and the worker's next report may follow as quickly if it lists an end.
 #[test]
 fn failed_pace_order_is_not_resent_immediately() {
     let mut driver = Driver::new(1, 8);
@@ -126,8 +129,8 @@
     assert_eq!(repeats, 0, "orders sent again within 150 ms");
 }
 
-/// A worker with more tasks of a step than may be missing resets every order. A task that was to start there is
-/// accepted, and could run elsewhere.
+/// A worker resets every order, and runs more tasks of a step than may be unavailable. A task that was to start on it
+/// could run elsewhere.
 #[test]
 fn task_does_not_wait_forever_for_a_worker_at_its_unavailability_limit() {
     let mut driver = Driver::new(2, 4);
--- a/crates/sched/tests/core/sharing.rs
+++ b/crates/sched/tests/core/sharing.rs
@@ -1,4 +1,4 @@
-//! Tasks that fill what others leave unused, beside tasks whose response times have a limit.
+//! Tests of backfill tasks that share workers with latency-sensitive tasks.
 
 use smol_str::SmolStr;
 use syc_sched::Event;
@@ -33,7 +33,7 @@
     }
 }
 
-/// One worker of 8 cores, with a task that serves and one that fills.
+/// Returns a driver with one 8-core worker that runs a latency-sensitive and a backfill task.
 fn shared_worker() -> (Driver, StartOrder, StartOrder) {
     let mut driver = Driver::new(1, 8);
     driver.submit(1, policy(0), vec![serving(1, 3)]);
@@ -44,7 +44,7 @@
     (driver, starts[0].clone(), starts[1].clone())
 }
 
-/// Lets the worker report the tail every half second, and take what is ordered.
+/// Has the worker report the tail latency every half second and accept pace orders. Returns the last ordered pace.
 fn report(
     driver: &mut Driver,
     runs: (&StartOrder, &StartOrder),
@@ -89,7 +89,7 @@
     driver.confirm_starts();
     driver.submit(2, policy(1), vec![small]);
     driver.schedule();
-    assert!(driver.starts.is_empty(), "nothing is left unused");
+    assert!(driver.starts.is_empty(), "no CPU is unused");
     driver.pass(3_500);
     driver.schedule();
     assert_eq!(driver.starts.len(), 1);
@@ -124,7 +124,7 @@
     assert_eq!(driver.answer_paces(true), Some(100));
 }
 
-/// An order without an answer may be carried out after the next one.
+/// An unanswered order may be carried out after the next one.
 #[test]
 fn in_doubt_pace_is_resent_until_no_late_order_can_arrive() {
     let (mut driver, shop, crunch) = shared_worker();
--- a/crates/sched/tests/schedules/jobs.rs
+++ b/crates/sched/tests/schedules/jobs.rs
@@ -1,4 +1,4 @@
-//! Generated jobs, and how they must end.
+//! Generates jobs, together with the state in which each must end.
 
 use rand::Rng;
 use rand::rngs::SmallRng;
@@ -20,30 +20,30 @@
 use syc_types::ServiceName;
 use syc_types::TimeOfDay;
 
-/// The service of every worker and job.
+/// The service of all workers and jobs.
 pub const SERVICE: &str = "service";
 
-/// The queue of every job.
+/// The queue of all jobs.
 pub const QUEUE: &str = "queue";
 
-/// Failed runs that a queue allows.
+/// Failed runs per task at which a job fails.
 const ATTEMPTS: u32 = 3;
 
-/// Time that a task takes which only ends when it is stopped.
+/// Duration of a task that runs until it is stopped.
 const ENDLESS_MS: u64 = u64::MAX / 1_000;
 
-/// A job, when it comes, and how it must end.
+/// A job, when it is submitted, and the state in which it must end.
 #[derive(Debug, Clone)]
 pub struct GeneratedJob {
     pub spec: JobSpec,
     pub at_ms: u64,
     pub cancel_at_ms: Option<u64>,
     pub expected_state: JobState,
-    /// Whether it may be given up instead: a task of it takes workers down now and then.
+    /// Whether the job may fail instead, because one of its tasks crashes workers now and then.
     pub may_fail: bool,
 }
 
-/// Makes a job, and tells the workers how its tasks go.
+/// Generates a job, and plans in the fleet model how its tasks behave.
 pub fn generate(rng: &mut SmallRng, id: u64, fleet: &mut FleetModel) -> GeneratedJob {
     let steps: Vec<_> = (0..rng.random_range(1..=3))
         .map(|index| step(rng, index))
@@ -81,8 +81,8 @@
     }
 }
 
-/// Makes jobs that serve users of their own, with tails that have a limit, and jobs that fill what they
-/// leave unused and would break it at full speed.
+/// Generates a latency-sensitive job with a tail latency limit, and backfill jobs that would exceed the limit
+/// at full speed.
 pub fn generate_mixed_workload(rng: &mut SmallRng, fleet: &mut FleetModel) -> Vec<GeneratedJob> {
     fleet.set_tail(
         "shop",
@@ -116,7 +116,7 @@
     jobs
 }
 
-/// Makes a job of tasks that last, of which one may be missing.
+/// Generates a job of long-running tasks, one of which may be unavailable at a time.
 pub fn generate_long_running(rng: &mut SmallRng, fleet: &mut FleetModel) -> GeneratedJob {
     let step = StepSpec {
         tasks: 3,
@@ -170,7 +170,7 @@
         } else {
             rng.random_range(0..15_000)
         },
-        // Long after the last of what fills should be done.
+        // Long after the backfill jobs should have completed.
         cancel_at_ms: is_long_running.then_some(100_000),
         expected_state: if is_long_running {
             JobState::Cancelled
@@ -181,7 +181,7 @@
     }
 }
 
-/// Makes a job with tasks that take their workers down, in one of the forms that such a job has.
+/// Generates a job with tasks that crash their workers, in one of several patterns.
 pub fn generate_crashing(rng: &mut SmallRng, id: u64, fleet: &mut FleetModel) -> GeneratedJob {
     let pattern = CrashPattern::ALL[rng.random_range(0..CrashPattern::ALL.len())];
     let spec = JobSpec {
@@ -249,20 +249,20 @@
     }
 }
 
-/// Which tasks of a job take their workers down.
+/// Which tasks of a job crash their workers, and when.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CrashPattern {
-    /// The only one.
+    /// The only task of the job.
     OnlyTask,
-    /// One beside others that don't.
+    /// One of several tasks.
     OneOfSeveral,
-    /// All.
+    /// All tasks.
     AllTasks,
-    /// A member of a gang.
+    /// One member of a gang.
     GangMember,
-    /// One that lasts.
+    /// One of several long-running tasks.
     LongRunning,
-    /// One, with every other start.
+    /// One of several tasks, at every other start.
     EveryOtherStart,
 }
 
@@ -290,7 +290,7 @@
         },
         checkpointed: rng.random(),
         gang,
-        // A gang that is spread could need more workers than may run it.
+        // A gang limited to one task per worker could need more workers than are allowed to run it.
         tasks_per_worker: (!gang && rng.random_ratio(1, 5)).then_some(1),
         ..StepSpec::default()
     }
@@ -326,7 +326,7 @@
         } else if always_fails {
             u32::MAX
         } else {
-            // Fewer than the limit, so that the job does not fail of it.
+            // Fewer than the limit, so that the job does not fail.
             rng.random_range(0..ATTEMPTS)
         };
         let plan = Plan {
--- a/crates/sched/tests/schedules/main.rs
+++ b/crates/sched/tests/schedules/main.rs
@@ -1,7 +1,7 @@
-//! Generated schedules of the decision core against models of the workers, in virtual time.
+//! Simulation tests of the scheduler against a model of the workers, in virtual time.
 //!
-//! Each seed makes jobs, faults and their order. A judge sees every start and end on the workers; a
-//! naive version of the whole, which knows how each task goes, says how each job must end.
+//! Each seed generates jobs, faults and their order. A judge observes every start and end on the workers and checks
+//! the invariants. Since the generator knows how each task behaves, it also knows the state in which each job must end.
 
 mod jobs;
 mod simulation;
@@ -14,10 +14,10 @@
 use syc_sched::Options;
 use test_case::test_case;
 
-/// Seeds of each profile: enough that each fault meets each phase of a job, few enough for CI.
+/// Seeds per profile. These are enough for each fault to occur in each phase of a job, and few enough for CI.
 const SEEDS: u64 = 40;
 
-/// Seeds of each profile of those that are played by hand.
+/// Seeds per profile in tests that are run manually.
 const MANY_SEEDS: u64 = 1_000;
 
 #[test_case(Profile::FAULT_FREE; "no faults")]
@@ -74,8 +74,8 @@
     }
 }
 
-/// A gang whose other members are being ended, and workers that are gone before anything of it is written: the task was
-/// started once too often.
+/// Some crashes were missed, and the task was started once too often: a crash caused by a gang member while the other
+/// members are being ended, and crashes of workers that are gone before anything about them is stored.
 #[test_case(301, Profile { crashing_jobs: 3, scheduler_crashes: 6, ..Profile::FAULT_FREE }; "while schedulers crash, first")]
 #[test_case(808, Profile { crashing_jobs: 3, scheduler_crashes: 6, ..Profile::FAULT_FREE }; "while schedulers crash, second")]
 #[test_case(732, Profile { crashing_jobs: 3, ..Profile::ALL_FAULTS }; "and everything at once, first")]
@@ -86,7 +86,8 @@
     assert_eq!(simulation.faults(), []);
 }
 
-/// The store takes nothing while two schedulers in a row start a task and are lost: nobody knows where it was.
+/// Two consecutive schedulers start a task and are lost while the store accepts no writes, so that it is unknown on
+/// which workers the task ran.
 #[test]
 fn crashes_under_starts_that_were_never_written_count() {
     let profile = Profile {
@@ -98,7 +99,7 @@
     assert_eq!(simulation.faults(), []);
 }
 
-/// Its order was under way as the worker was lost, three times: it was there only once.
+/// Three workers are lost while a start order is in flight, but the task ran on only one of them.
 #[test]
 fn a_job_is_not_given_up_for_starts_that_never_arrived() {
     let profile = Profile {
@@ -123,8 +124,8 @@
     assert_eq!(simulation.unexpected_states(), []);
 }
 
-/// Of many schedules, how many break a rule or end a job wrongly, and what tasks cost that take their workers down. Run
-/// by hand.
+/// Prints how many of many schedules violate an invariant or end a job in an unexpected state, and how many workers
+/// crashing tasks take down. Run manually.
 #[test_case(Profile { crashing_jobs: 3, ..Profile::FAULT_FREE }; "crashing tasks")]
 #[test_case(Profile { crashing_jobs: 3, scheduler_crashes: 6, ..Profile::FAULT_FREE }; "crashing tasks while schedulers crash")]
 #[test_case(Profile { crashing_jobs: 3, worker_crashes: 4, ..Profile::FAULT_FREE }; "crashing tasks beside workers that crash")]
@@ -187,7 +188,7 @@
     assert_eq!(judge.faults(), expected);
 }
 
-/// The rule that a worker's lease has to lapse is broken on purpose: the judge must see it.
+/// The scheduler deliberately does not wait for leases to expire, which the judge must detect.
 #[test_case(Profile { partitions: 10, ..Profile::FAULT_FREE }; "partitioned workers")]
 #[test_case(Profile { resetting_workers: 10, ..Profile::FAULT_FREE }; "workers that accept no orders")]
 fn judge_detects_ignored_leases(profile: Profile) {
@@ -206,10 +207,10 @@
             .filter(|fault| matches!(fault, Fault::Twice(_)))
             .count();
     }
-    assert!(twice > 0, "no task was seen to run twice");
+    assert!(twice > 0, "the judge reported no task as running twice");
 }
 
-/// The bounds of a wave and of a step are kept from the scheduler, on purpose.
+/// The limits of a wave and of a step are deliberately hidden from the scheduler.
 #[test]
 fn the_judge_notices_too_many_vms_down_and_too_many_tasks_away() {
     let profile = Profile {
@@ -226,10 +227,13 @@
             away += u32::from(matches!(fault, Fault::TooManyAway(_)));
         }
     }
-    assert!(down > 0 && away > 0, "{down} and {away}");
+    assert!(
+        down > 0 && away > 0,
+        "{down} reports of VMs down, {away} of unavailable tasks"
+    );
 }
 
-/// Orders to go slower are not carried out, on purpose.
+/// Pace orders are deliberately not carried out.
 #[test]
 fn the_judge_notices_what_fills_at_full_speed() {
     let profile = Profile {
@@ -242,10 +246,13 @@
         let mut simulation = Simulation::new(seed, profile, Options::default());
         simulation.play();
         let faults = simulation.faults();
-        let of_users = |fault: &&Fault| matches!(fault, Fault::Harmed(_));
-        harmed += faults.iter().filter(of_users).count();
+        let is_harmed = |fault: &&Fault| matches!(fault, Fault::Harmed(_));
+        harmed += faults.iter().filter(is_harmed).count();
     }
-    assert!(harmed > 0, "no task's users were seen to wait too long");
+    assert!(
+        harmed > 0,
+        "the judge reported no latency-sensitive task as harmed"
+    );
 }
 
 #[test]
@@ -259,7 +266,7 @@
     assert_eq!(judge.faults(), [expected]);
 }
 
-/// The rule that a worker's room counts until an end is listed is broken on purpose.
+/// Workers deliberately have less capacity than they report, which the judge must detect.
 #[test]
 fn judge_detects_overcommitted_workers() {
     let profile = Profile {
@@ -271,8 +278,8 @@
         let mut simulation = Simulation::new(seed, profile, Options::default());
         simulation.play();
         let faults = simulation.faults();
-        let of_room = |fault: &&Fault| matches!(fault, Fault::OverCapacity(_));
-        over += faults.iter().filter(of_room).count();
+        let is_over_capacity = |fault: &&Fault| matches!(fault, Fault::OverCapacity(_));
+        over += faults.iter().filter(is_over_capacity).count();
     }
-    assert!(over > 0, "no worker was seen with too much");
+    assert!(over > 0, "the judge reported no overcommitted worker");
 }
--- a/crates/sched/tests/schedules/simulation.rs
+++ b/crates/sched/tests/schedules/simulation.rs
@@ -1,4 +1,4 @@
-//! The world of a generated schedule: jobs come, orders travel, things break.
+//! The simulation of a generated schedule, with jobs, workers, message delays and faults.
 
 mod counts;
 mod delivery;
@@ -59,7 +59,7 @@
 const CORES: u64 = 8;
 const LEASE_MS: u64 = 6_000;
 const RENEWAL_INTERVAL_MS: u64 = 200;
-/// The scheduler reads the registrations of workers this often.
+/// Interval at which the scheduler reads the worker registrations.
 const REGISTRY_READ_MS: u64 = 250;
 const ORDER_TIMEOUT_MS: u64 = 300;
 const START_MS: u64 = 1_000;
@@ -67,7 +67,7 @@
 const WAVE_AT_MS: u64 = 6_000;
 const WAVE_LIMIT_MS: u64 = 30_000;
 
-/// How much goes wrong; counts are a schedule's, shares are in thousandths of the orders.
+/// The faults in a schedule. Numbers of events are per schedule, and the `per_mille` fields are shares of the orders.
 #[derive(Debug, Clone, Copy)]
 #[expect(
     clippy::struct_excessive_bools,
@@ -80,24 +80,24 @@
     pub lost_per_mille: u32,
     pub late_per_mille: u32,
     pub store_pauses: u32,
-    /// Workers that answer renewals and reset each order for a while, some of which they carry out later.
+    /// Times that a worker answers renewals but resets all orders for a while, some of which it carries out later.
     pub resetting_workers: u32,
-    /// Jobs with a task that takes its workers down.
+    /// Jobs with a task that crashes its workers.
     pub crashing_jobs: u32,
-    /// Workers whose room shrinks or grows while they run.
+    /// Times that the capacity of a worker shrinks and grows again.
     pub capacity_changes: u32,
-    /// Times that a worker, or all of them, start again under their names.
+    /// Times that a worker, or all of them, restart under the same name.
     pub worker_restarts: u32,
-    /// Workers have less than they say: the judge must see it.
+    /// Whether workers have less capacity than they report, which the judge must detect.
     pub overstates_capacity: bool,
-    /// Jobs that serve users of their own, and others that fill what they leave unused.
+    /// Whether the schedule consists of a latency-sensitive job and backfill jobs instead of the usual ones.
     pub mixed_workload: bool,
-    /// Orders to go slower reach no worker: the judge must see it.
+    /// Whether pace orders are not carried out, which the judge must detect.
     pub ignores_pace: bool,
-    /// Operators want all VMs to have their upkeep, so many at a time.
+    /// Number of VMs that may be down at a time in a maintenance wave over all VMs, or 0 for no wave.
     pub wave_concurrency: u32,
-    /// The scheduler hears of no bound on VMs that are down, nor that any task lasts: the judge must see
-    /// it.
+    /// Whether the scheduler is not told how many VMs may be down nor that tasks are long-running, which the judge must
+    /// detect.
     pub hides_limits: bool,
 }
 
@@ -135,7 +135,7 @@
     Start(WorkerId, StartCommand),
     Stop(WorkerId, StopCommand),
     Pace(WorkerId, PaceCommand),
-    /// Only the scheduler that gave the order hears the answer.
+    /// An answer, which is delivered only to the scheduler with this token.
     Answer(u64, Event),
     Recorded(
         u64,
@@ -146,17 +146,17 @@
     PartitionHealed(WorkerId),
     VmOrder(VmCommand),
     VmsListed(u64, Millis),
-    /// A worker that was taken down is back, on the same VM.
+    /// A crashed worker is back on the same VM, under another name.
     WorkerBack(VmId, u64),
-    /// The entry of a worker that was taken down has lapsed.
+    /// The registration of a crashed worker expires.
     RegistrationExpired(WorkerId),
-    /// A worker ends, to start again at once.
+    /// A worker ends and restarts at once.
     IncarnationEnds(WorkerId),
-    /// A worker starts again under its name.
+    /// A worker starts again under the same name.
     IncarnationStarts(WorkerModel),
-    /// A worker has so many cores from now on.
+    /// The capacity of a worker changes to this number of cores.
     CapacityChanges(WorkerId, u64),
-    /// A worker tells of itself.
+    /// A worker updates its registration.
     WorkerReports(WorkerId),
     WorkerStarts,
     SchedulerStarts,
@@ -190,38 +190,38 @@
     partitioned: BTreeMap<WorkerId, Millis>,
     resetting_until: BTreeMap<WorkerId, Millis>,
     registered: BTreeMap<WorkerId, Incarnation>,
-    /// Workers that may run something of a scheduler, as a successor finds them in the store.
+    /// Workers that may have runs of a scheduler, as stored for its successors.
     roster: BTreeMap<WorkerId, Incarnation>,
-    /// Workers of the roster that are gone: the store is told so with what was concluded of it.
+    /// Detached workers, which are removed from the roster together with the next write.
     detached: Vec<WorkerId>,
-    /// Until when nothing is at the address of a worker that was taken down.
+    /// Until when the addresses of crashed workers do not respond.
     down_until: BTreeMap<WorkerId, Millis>,
     incarnations: u64,
     vms: VmsModel,
     wave: Option<Wave>,
     stored_waves: BTreeMap<u64, WaveProgress>,
-    /// Whether schedulers are told that workers that crashed had said that they leave.
+    /// Whether crashed workers are reported to the scheduler as draining before the crash.
     crashes_reported_as_draining: bool,
 }
 
-/// Which life of a worker it is, and the VM that it is on.
+/// An incarnation of a worker, and the VM that it runs on.
 #[derive(Debug, Clone)]
 struct Incarnation {
     number: u64,
-    /// What advice goes by: of a worker that is back on its VM, that of the one before.
+    /// Determines which steps are allowed. A worker that is back on its VM inherits the slot.
     slot: u64,
-    /// Times that it started again under its name, each time as another kind of worker.
+    /// Number of restarts under the same name, each of which changes what steps are allowed.
     restarts: u64,
-    /// When the life of it began that it told of last.
+    /// Start time of the incarnation that is registered.
     reported_started_at: Millis,
     vm: VmId,
-    /// What it has.
+    /// Actual number of cores.
     cores: u64,
-    /// What it said last that it has.
+    /// Registered number of cores.
     reported_cores: u64,
-    /// Since when it has something else than that.
+    /// Since when the actual number differs from the registered one.
     unreported_since: Option<Millis>,
-    /// Whether its registration has lapsed, as it is cut off.
+    /// Whether the registration has expired during a partition.
     expired: bool,
 }
 
@@ -343,7 +343,7 @@
         faults
     }
 
-    /// Returns how many workers each task took down that does so.
+    /// Returns the number of crashed workers for each task that crashes workers.
     pub fn taken_down(&self) -> Vec<u32> {
         let judge = &self.fleet.judge;
         judge.taken_down().map(|(_, workers)| workers).collect()
@@ -353,14 +353,14 @@
         self.fleet.judge.clone()
     }
 
-    /// Returns the jobs that are kept as completed.
+    /// Returns the jobs that are stored as completed.
     pub fn completed(&self) -> impl Iterator<Item = JobId> {
         let stored = self.stored.iter();
         let completed = stored.filter(|(_, progress)| progress.state == JobState::Completed);
         completed.map(|(id, _)| *id)
     }
 
-    /// Has schedulers told that each worker that crashed had said that it leaves, which blames nobody.
+    /// Reports each crashed worker as draining, so that no task is blamed for the crash.
     pub fn report_crashes_as_draining(&mut self) {
         self.crashes_reported_as_draining = true;
     }
@@ -369,13 +369,13 @@
         self.vms.all_completed()
     }
 
-    /// Returns the jobs that ended otherwise than they must, with the state that is kept.
+    /// Returns the jobs that did not end as expected, with the expected and the stored state.
     pub fn unexpected_states(&self) -> Vec<(JobId, JobState, Option<JobState>)> {
         let mut unexpected = Vec::new();
         for job in &self.jobs {
             let id = job.spec.id;
             let stored = self.stored.get(&id).map(|progress| progress.state);
-            // A job that was cancelled late may have ended by itself before.
+            // A job that was cancelled late may have ended before.
             let ended = stored.is_some_and(JobState::is_terminal);
             let as_expected = match job.expected_state {
                 JobState::Cancelled => ended,
@@ -389,7 +389,7 @@
         unexpected
     }
 
-    /// Starts a worker on a VM of its own.
+    /// Starts a worker on a new VM.
     fn start_worker_on_new_vm(&mut self) {
         let vm = VmId::new(format!("vm-{}", self.incarnations + 1));
         self.vms
@@ -462,7 +462,7 @@
             self.apply(Event::WorkerListed(spec_of(id, incarnation)));
         }
         let mut unregistered = self.roster.clone();
-        // Other schedules know of those alone that are registered.
+        // In schedules without these faults, a successor only knows the registered workers.
         let listed: Vec<_> = registered
             .iter()
             .map(|(id, incarnation)| incarnation_id(id, incarnation))
@@ -496,7 +496,7 @@
         }
     }
 
-    /// Publishes the wave when its time has come, and starts workers on VMs that are back.
+    /// Publishes the wave when it is due, and starts workers on VMs that are back.
     fn advance_vms(&mut self) {
         let is_due = self.profile.wave_concurrency > 0 && self.now.0 >= WAVE_AT_MS;
         if is_due && self.wave.is_none() {
@@ -625,7 +625,7 @@
     }
 }
 
-/// Names the life of a worker that it told of last.
+/// Returns the id of the registered incarnation of a worker.
 fn incarnation_id(name: &WorkerId, incarnation: &Incarnation) -> WorkerId {
     WorkerId::of_life(name.as_str(), Some(incarnation.reported_started_at.0))
 }
--- a/crates/sched/tests/schedules/simulation/counts.rs
+++ b/crates/sched/tests/schedules/simulation/counts.rs
@@ -1,4 +1,4 @@
-//! What callers hear of the jobs that wait.
+//! Checks the number of waiting jobs that callers are told.
 
 use syc_sched::JobState;
 
@@ -6,7 +6,7 @@
 use crate::jobs::QUEUE;
 
 impl Simulation {
-    /// Asks how many jobs wait, as a caller may at any time.
+    /// Queries the number of waiting jobs, as a caller may at any time.
     pub(super) fn check_count(&mut self) {
         let Some(scheduler) = &self.scheduler else {
             return;
--- a/crates/sched/tests/schedules/simulation/delivery.rs
+++ b/crates/sched/tests/schedules/simulation/delivery.rs
@@ -1,4 +1,4 @@
-//! What is under way: orders, answers and events that come to pass later.
+//! Delayed delivery of orders, answers and events.
 
 use syc_sched::Event;
 
@@ -27,7 +27,7 @@
     pub(super) fn deliver_one(&mut self, delivery: Delivery) {
         match delivery {
             Delivery::Start(id, command) => {
-                // Whether it was refused or carried out, nobody hears of it.
+                // Nobody receives the answer.
                 let _result = self.fleet.start_late(&id, &command, self.now);
             }
             Delivery::Stop(id, command) => {
@@ -42,7 +42,7 @@
                 }
             }
             Delivery::Recorded(token, records, waves, detached) => {
-                // The store refuses what a predecessor had still to write.
+                // The store refuses writes of a predecessor.
                 if token != self.token {
                     return;
                 }
@@ -64,7 +64,7 @@
             }
             Delivery::PartitionHealed(id) => {
                 self.partitioned.remove(&id);
-                // The entry of a worker that has nothing new to say is not written again.
+                // A registration that is up to date is not written again.
                 if self.has_stale_registration(&id) {
                     self.schedule_report(id);
                 }
--- a/crates/sched/tests/schedules/simulation/faults.rs
+++ b/crates/sched/tests/schedules/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, and when.
+//! Injection of faults.
 
 use rand::Rng;
 use syc_types::WorkerId;
@@ -8,7 +8,7 @@
 use super::FaultKind;
 use super::Simulation;
 
-/// What becomes of an order that a worker resets.
+/// The effect of an order whose connection the worker resets.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum ResetOutcome {
     Lost,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Says what becomes of an order that a worker resets; none where it resets no orders.
+    /// Returns the effect of an order if the worker resets it, or `None` if the worker resets no orders.
     pub(super) fn reset_outcome(&mut self, id: &WorkerId) -> Option<ResetOutcome> {
         let until = self.resetting_until.get(id)?;
         if *until <= self.now {
--- a/crates/sched/tests/schedules/simulation/orders.rs
+++ b/crates/sched/tests/schedules/simulation/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to the workers and calls for advice, and what becomes of them on the way.
+//! Delivery of orders to the workers and of advice calls, with losses and delays.
 
 use rand::Rng;
 use smol_str::format_smolstr;
@@ -110,7 +110,7 @@
             }
         };
         let delay_ms = self.rng.random_range(1..30);
-        // What a worker had still to say when it was taken down is lost.
+        // An answer that is still in flight is lost when the worker crashes.
         let answer = if self.fleet.is_down_by(&id, self.now.plus(delay_ms)) {
             StartAnswer::InDoubt
         } else {
@@ -233,7 +233,7 @@
             let Some(session) = self.sessions.get(worker) else {
                 continue;
             };
-            // Of five lives in a row, one may not run a step; a gang needs two that may.
+            // One in five consecutive slots may not run a step, since a gang needs two workers that may.
             let incarnation = self.registered.get(&WorkerId::new(session.id.name()));
             let advice_slot =
                 incarnation.map_or(0, |incarnation| incarnation.slot + incarnation.restarts % 2);
--- a/crates/sched/tests/schedules/simulation/renewals.rs
+++ b/crates/sched/tests/schedules/simulation/renewals.rs
@@ -1,4 +1,4 @@
-//! Renewals of the workers' leases, and writes to the store.
+//! Renewals of worker leases, and writes to the store.
 
 use rand::Rng;
 use syc_cell::ports::Renewal;
@@ -46,7 +46,7 @@
             return;
         }
         let Some(model) = self.fleet.workers.get(&name) else {
-            // Another incarnation is at the address of a worker that crashed.
+            // Another worker responds at the address of a crashed worker.
             self.apply(Event::Replaced { worker: key });
             return;
         };
--- a/crates/sched/tests/schedules/simulation/restarts.rs
+++ b/crates/sched/tests/schedules/simulation/restarts.rs
@@ -1,4 +1,4 @@
-//! Workers that start again under the names that they had.
+//! Workers that restart under the same name.
 
 use rand::Rng;
 use syc_fleet::WorkerModel;
@@ -7,11 +7,11 @@
 use super::Delivery;
 use super::Simulation;
 
-/// Of so many times, one has all workers start again together.
+/// One in this many restarts affects all workers together.
 const ALL_OF: u32 = 5;
 
 impl Simulation {
-    /// Lets a worker, or all of them, end and start again: at once, after some time, or after their leases.
+    /// Restarts one worker or all of them, with a downtime that ranges from almost none to beyond their leases.
     pub(super) fn restart_workers(&mut self) {
         let mut ids: Vec<_> = self.registered.keys().cloned().collect();
         if !self.rng.random_ratio(1, ALL_OF) {
@@ -34,14 +34,14 @@
         }
     }
 
-    /// Ends a life of a worker; the next one begins after so long.
+    /// Ends the incarnation of a worker. The next one starts after `down_ms`.
     pub(super) fn end_incarnation(&mut self, id: &WorkerId, down_ms: u64) {
         let Some(model) = self.fleet.workers.get(id).cloned() else {
             return;
         };
         self.fleet.crash(id);
         self.fail_renewals_in_flight(id);
-        // What it had still to carry out ends with it.
+        // Orders that were still to be carried out are lost.
         self.deliveries.retain(|(_, delivery)| match delivery {
             Delivery::Start(to, _) | Delivery::Stop(to, _) | Delivery::Pace(to, _) => to != id,
             _ => true,
@@ -50,7 +50,8 @@
         self.schedule(down_ms, Delivery::IncarnationStarts(model));
     }
 
-    /// A renewal is under way at a worker nearly all the time: it waits there for an end, and fails with the worker.
+    /// Fails the renewals of a worker. There is nearly always one in flight, since a renewal waits at the worker for a run
+    /// to end.
     fn fail_renewals_in_flight(&mut self, id: &WorkerId) {
         if self.partitioned.contains_key(id) {
             return;
@@ -62,9 +63,9 @@
         }
     }
 
-    /// The next life of a worker begins, and tells of itself within a heartbeat.
+    /// Starts the next incarnation of a worker, which registers within a heartbeat.
     pub(super) fn start_next_incarnation(&mut self, ended: &WorkerModel) {
-        // Only one next life follows, however often the one before was ended.
+        // Only one incarnation follows, even if the previous one was ended more than once.
         if self.fleet.workers.contains_key(&ended.id) || !self.registered.contains_key(&ended.id) {
             return;
         }
--- a/crates/sched/tests/schedules/simulation/workers.rs
+++ b/crates/sched/tests/schedules/simulation/workers.rs
@@ -1,4 +1,4 @@
-//! Workers that tasks take down, and rooms that shrink and grow while they run.
+//! Crashes of workers caused by tasks, and changes of worker capacity.
 
 use rand::Rng;
 use syc_sched::Event;
@@ -12,17 +12,17 @@
 use super::spec_of;
 use crate::jobs::cpu;
 
-/// Time from one word of a worker about itself to the next.
+/// Interval at which a worker updates its registration.
 pub(super) const HEARTBEAT_MS: u64 = 1_500;
 
-/// Heartbeats after which the registration of a worker lapses that tells nothing.
+/// Number of missed heartbeats after which a registration expires.
 const HEARTBEATS_MISSED: u64 = 3;
 
-/// Workers are held to a room that shrank after this time, and one more heartbeat.
+/// Reduced capacity is enforced after this time and one more heartbeat.
 const ROOM_GRACE_MS: u64 = 3_000;
 
 impl Simulation {
-    /// Lets the workers that tasks have taken down come back on their VMs.
+    /// Schedules the return of crashed workers on their VMs.
     pub(super) fn schedule_crash_recoveries(&mut self) {
         for id in self.fleet.take_crashed() {
             let Some(incarnation) = self.registered.get(&id) else {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Says whether nothing is at a worker's address yet.
+    /// Returns whether the address of a worker does not respond yet.
     pub(super) fn is_down(&self, id: &WorkerId) -> bool {
         self.down_until
             .get(id)
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Gives a worker another room, for a while.
+    /// Reduces the capacity of a worker for a while.
     pub(super) fn reduce_capacity(&mut self, id: &WorkerId) {
         let cores = self.rng.random_range(1..CORES);
         self.set_capacity(id, cores);
@@ -68,7 +68,7 @@
         self.schedule(small_ms, Delivery::CapacityChanges(id.clone(), CORES));
     }
 
-    /// Gives a worker another room, of which it tells with its next heartbeat.
+    /// Changes the capacity of a worker, which it reports with its next heartbeat.
     pub(super) fn set_capacity(&mut self, id: &WorkerId, cores: u64) {
         let counts_until = self.now.plus(ROOM_GRACE_MS + HEARTBEAT_MS);
         self.fleet.resize(id, cpu(cores), counts_until);
@@ -80,8 +80,10 @@
         self.schedule_report(id.clone());
     }
 
-    /// Lets the registrations lapse of workers that have told nothing for three heartbeats, at the latest that may be:
-    /// had one told anything since its room changed, it would have told that.
+    /// Expires the registrations of workers that have missed three heartbeats, as late as is possible.
+    ///
+    /// A worker whose capacity changed before the partition did not report after the change, or it would have reported
+    /// the new capacity.
     pub(super) fn expire_registrations(&mut self) {
         if self.profile.capacity_changes == 0 {
             return;
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Says whether a worker has something to tell that its registration does not say.
+    /// Returns whether the registration of a worker is out of date.
     pub(super) fn has_stale_registration(&self, id: &WorkerId) -> bool {
         let Some(incarnation) = self.registered.get(id) else {
             return false;
@@ -119,13 +121,13 @@
         is_restarted || incarnation.expired || incarnation.cores != incarnation.reported_cores
     }
 
-    /// Lets a worker tell of itself within a heartbeat.
+    /// Has a worker update its registration within a heartbeat.
     pub(super) fn schedule_report(&mut self, id: WorkerId) {
         let delay_ms = self.rng.random_range(0..HEARTBEAT_MS);
         self.schedule(delay_ms, Delivery::WorkerReports(id));
     }
 
-    /// A worker says what it has; one that is cut off does so once it is not.
+    /// Updates the registration of a worker, unless it is partitioned. In that case it does so afterwards.
     pub(super) fn report_worker(&mut self, id: &WorkerId) {
         if self.partitioned.contains_key(id) {
             return;
