--- a/crates/sched/src/pacing.rs
+++ b/crates/sched/src/pacing.rs
@@ -29,7 +29,7 @@
 /// Interval between changes of the pace. Reported tail latencies cover the last half second.
 const ADJUST_INTERVAL_MS: u64 = 500;
 
-/// Interval between reports of a worker that has both latency-sensitive and backfill runs.
+/// Longest time between reports of a worker that has both latency-sensitive and backfill runs.
 const SHARED_REPORT_WAIT_MS: u64 = 400;
 
 /// From this percentage of its limit on, a tail latency is too high, since a short burst could exceed the limit.
