--- a/crates/sched/src/circuit_breaker.rs
+++ b/crates/sched/src/circuit_breaker.rs
@@ -18,8 +18,8 @@
 use crate::StopReason;
 use crate::TaskId;
 use crate::WorkerKey;
-use crate::reports::belief;
-use crate::scatter::seed_of;
+use crate::jitter::jitter_seed;
+use crate::reports::status_note;
 use crate::worker::Phase;
 use crate::worker::WorkerRun;
 
@@ -113,7 +113,7 @@
     fn retries_exhausted(&self, run: &WorkerRun, limit_ms: u64, now: Millis) -> bool {
         let is_unanswered = run.in_flight && now.since(run.ordered_at) > limit_ms;
         let was_probed = self.tripped && self.probe_attempts >= MIN_ATTEMPTS;
-        is_unanswered || was_probed || run.doubtful_orders() >= MIN_ATTEMPTS
+        is_unanswered || was_probed || run.orders_in_doubt() >= MIN_ATTEMPTS
     }
 
     /// Returns whether there is no failed order since the latest accepted one.
@@ -143,10 +143,10 @@
 
     /// Records that a worker accepted an order that was sent at `sent_at`.
     pub(crate) fn order_accepted(&mut self, key: WorkerKey, sent_at: Millis, now: Millis) {
-        self.retry_budget.give();
+        self.retry_budget.refund();
         let worker = &mut self.workers[key];
         let contact = &mut worker.contact;
-        contact.retry_budget.give();
+        contact.retry_budget.refund();
         contact.consecutive_failures = 0;
         contact.start_window = MAX_START_WINDOW;
         contact.last_accepted_sent_at = contact.last_accepted_sent_at.max(Some(sent_at));
@@ -154,7 +154,7 @@
         contact.half_open = false;
         if contact.tripped {
             contact.tripped = false;
-            let note = belief(worker, "takes_orders", now);
+            let note = status_note(worker, "takes_orders", now);
             self.actions.push(note);
         }
     }
@@ -184,7 +184,7 @@
         contact.tripped = true;
         contact.start_window = INITIAL_START_WINDOW;
         contact.probe_attempts = 0;
-        let note = belief(worker, "takes_no_orders", now);
+        let note = status_note(worker, "takes_no_orders", now);
         self.actions.push(note);
         self.schedule_next_probe(key, task_run, now);
     }
@@ -197,7 +197,7 @@
             options.order_retry_ms,
             options.max_probe_delay_ms,
             contact.probe_attempts,
-            seed_of(task_run.0, task_run.1),
+            jitter_seed(task_run.0, task_run.1),
         );
         contact.next_probe_at = now.plus(wait_ms);
     }
@@ -278,7 +278,7 @@
         } else {
             "lease_renewed"
         };
-        let note = belief(worker, event, now);
+        let note = status_note(worker, event, now);
         self.actions.push(note);
     }
 }
@@ -291,7 +291,7 @@
 fn unconfirmed_since(run: &WorkerRun) -> Option<Millis> {
     if run.phase == Phase::Stopping {
         // An accepted stop takes effect quickly, and the end is listed then.
-        return run.stop_taken_at.or(Some(run.doubt_since));
+        return run.stop_accepted_at.or(Some(run.doubt_since));
     }
     run.in_doubt_since()
 }
--- a/crates/sched/src/counts.rs
+++ b/crates/sched/src/counts.rs
@@ -63,14 +63,14 @@
         };
         for key in &self.open_jobs {
             for (index, step) in self.jobs[*key].steps.iter().enumerate() {
-                if step.pending > 0 && self.jobs[*key].is_ready(index, now) {
-                    counts.waiting_tasks += u64::from(step.pending * step.members());
+                if step.pending_units > 0 && self.jobs[*key].is_ready(index, now) {
+                    counts.waiting_tasks += u64::from(step.pending_units * step.members());
                 }
             }
         }
         for worker in self.workers.values() {
             counts.runs += worker.runs.len();
-            counts.usable_workers += usize::from(worker.usable(now));
+            counts.usable_workers += usize::from(worker.is_usable(now));
             counts.add_doubts(worker, now);
             if worker.silent {
                 counts.add_silence(worker, now);
--- a/crates/sched/src/maintenance.rs
+++ b/crates/sched/src/maintenance.rs
@@ -170,7 +170,7 @@
         }
         if maintenance.completed.contains(&number) {
             // The predecessor may have ended before it reported the completion.
-            self.actions.push(Action::TellWave {
+            self.actions.push(Action::ReportWave {
                 wave: number,
                 completed: true,
             });
@@ -188,7 +188,7 @@
         maintenance
             .active
             .insert(number, ActiveWave::new(wave, stored.as_ref(), age_ms, now));
-        self.actions.push(Action::TellWave {
+        self.actions.push(Action::ReportWave {
             wave: number,
             completed: false,
         });
@@ -216,7 +216,7 @@
         }
         self.maintenance.active.remove(&number);
         self.maintenance.completed.insert(number);
-        self.actions.push(Action::TellWave {
+        self.actions.push(Action::ReportWave {
             wave: number,
             completed: true,
         });
@@ -224,11 +224,11 @@
 
     /// Advances all waves.
     pub(crate) fn advance_waves(&mut self, now: Millis) {
-        if self.maintenance.active.is_empty() || !self.recovery.is_settled() {
+        if self.maintenance.active.is_empty() || !self.recovery.is_complete() {
             return;
         }
-        self.ask_for_vms(now);
-        if !self.vms.may_order(now) {
+        self.request_vm_list(now);
+        if !self.vms.can_order(now) {
             return;
         }
         let mut waves = std::mem::take(&mut self.maintenance.active);
@@ -302,7 +302,7 @@
         let Some(worker) = self.worker_on(vm) else {
             return true;
         };
-        let is_empty = self.empty_worker(worker, now);
+        let is_empty = self.evacuate_worker(worker, now);
         is_empty || (now >= until && self.may_end_rest(worker))
     }
 
@@ -395,7 +395,7 @@
         }
         open.changes += 1;
         if answer == VmOrderAnswer::Unfit {
-            self.keep_worker(vm);
+            self.cancel_evacuation(vm);
         }
     }
 }
--- a/crates/sched/src/orders.rs
+++ b/crates/sched/src/orders.rs
@@ -11,7 +11,7 @@
 use crate::StopReason;
 use crate::TaskId;
 use crate::WorkerKey;
-use crate::units::Ending;
+use crate::units::RunTermination;
 use crate::worker::Phase;
 
 impl Scheduler {
@@ -41,7 +41,7 @@
                     run_state.percent_at = now;
                 }
                 self.order_accepted(key, ordered_at, now);
-                self.note_begun(task.step.job);
+                self.mark_job_started(task.step.job);
             }
             StartAnswer::Refused(refusal) => {
                 self.order_accepted(key, ordered_at, now);
@@ -63,13 +63,13 @@
             return;
         };
         run_state.copies = run_state.copies.saturating_sub(1);
-        if run_state.copies > 0 || run_state.listed {
+        if run_state.copies > 0 || run_state.reported {
             return;
         }
         // Prefers other workers for the next attempt.
         let until = now.plus(self.options.order_retry_ms);
         worker.quarantined_until = worker.quarantined_until.max(until);
-        self.end_run(key, task, run, Ending::without_report("not_sent"), now);
+        self.end_run(key, task, run, RunTermination::inferred("not_sent"), now);
     }
 
     fn start_refused(
@@ -86,7 +86,7 @@
         };
         // An earlier copy of the order may have been executed, which the worker's reports will show.
         let in_doubt = run_state.copies > 1 && refusal == StartRefusal::OldRun;
-        if in_doubt || run_state.listed {
+        if in_doubt || run_state.reported {
             self.stop_run(key, task, run, StopReason::StartInDoubt, now);
             return;
         }
@@ -113,7 +113,7 @@
             self.stop_run(key, task, run, StopReason::StartInDoubt, now);
             return;
         }
-        let ending = Ending::without_report(refusal.as_str());
+        let ending = RunTermination::inferred(refusal.as_str());
         self.end_run(key, task, run, ending, now);
     }
 
@@ -206,7 +206,7 @@
             ordered_at = run_state.ordered_at;
             run_state.in_flight = false;
             if accepted {
-                run_state.stop_taken_at.get_or_insert(now);
+                run_state.stop_accepted_at.get_or_insert(now);
             }
         }
         if accepted {
--- a/crates/sched/src/pacing.rs
+++ b/crates/sched/src/pacing.rs
@@ -18,8 +18,8 @@
 use crate::WorkerKey;
 use crate::WorkerNote;
 use crate::ids::JobKey;
+use crate::worker::CpuShare;
 use crate::worker::Phase;
-use crate::worker::Share;
 use crate::worker::Worker;
 use crate::worker::WorkerRun;
 
@@ -166,10 +166,12 @@
 fn worst_tail_percent(worker: &Worker) -> Option<u64> {
     let tails = worker.runs.values().filter_map(|run| match run.share {
         // Until its first report, a run neither lowers nor raises the pace.
-        Share::Serves { limit_ms, tail_ms } => Some(tail_ms.map_or(LOW_TAIL_PERCENT, |tail_ms| {
-            tail_ms.saturating_mul(100) / limit_ms.max(1)
-        })),
-        Share::Reserved { .. } | Share::Fills(_) => None,
+        CpuShare::LatencyBound { limit_ms, tail_ms } => {
+            Some(tail_ms.map_or(LOW_TAIL_PERCENT, |tail_ms| {
+                tail_ms.saturating_mul(100) / limit_ms.max(1)
+            }))
+        }
+        CpuShare::Reserved { .. } | CpuShare::Fills(_) => None,
     });
     tails.max()
 }
@@ -181,7 +183,7 @@
         let Some(worker) = self.workers.get(worker) else {
             return usual_ms;
         };
-        let has_sensitive = worker.runs.values().any(WorkerRun::serves);
+        let has_sensitive = worker.runs.values().any(WorkerRun::is_latency_bound);
         let has_backfill = worker.runs.values().any(WorkerRun::fills);
         // The step or the worker of a suspect is held back until the suspect is known not to crash its worker.
         if has_sensitive && has_backfill || worker.has_suspect() {
@@ -228,7 +230,7 @@
         let percent = worker.pace.percent;
         for ((task, run), run_state) in &mut worker.runs {
             let is_running = run_state.phase == Phase::Running;
-            let Share::Fills(backfill) = &mut run_state.share else {
+            let CpuShare::Fills(backfill) = &mut run_state.share else {
                 continue;
             };
             if !is_running || !backfill.needs_order(percent, now) {
@@ -259,7 +261,7 @@
         let Some(run_state) = worker.runs.get_mut(&task_run) else {
             return;
         };
-        let Share::Fills(backfill) = &mut run_state.share else {
+        let CpuShare::Fills(backfill) = &mut run_state.share else {
             return;
         };
         backfill.in_flight = false;
@@ -282,7 +284,7 @@
                 continue;
             }
             for ((sensitive, _), sensitive_run) in &worker.runs {
-                if sensitive_run.serves() {
+                if sensitive_run.is_latency_bound() {
                     pairs.push((self.image_of(*backfill), self.image_of(*sensitive)));
                 }
             }
@@ -321,7 +323,7 @@
         };
         let spare = candidates
             .iter()
-            .map(|key| (self.workers[*key].unused_cpu_millis(), *key));
+            .map(|key| (self.workers[*key].idle_cpu_millis(), *key));
         let spare = spare.filter(|(unused, _)| *unused >= min_unused);
         let ranked = spare.map(|(unused, key)| {
             let cpu_percent = unused.min(wanted) * 100 / wanted.max(1);
@@ -336,7 +338,7 @@
     fn expected_pace(&self, key: WorkerKey, image: &SmolStr) -> u32 {
         let mut expected = u32::from(FULL_PACE);
         for ((task, _), run_state) in &self.workers[key].runs {
-            if !run_state.serves() {
+            if !run_state.is_latency_bound() {
                 continue;
             }
             let sensitive_image = self.image_of(*task);
--- a/crates/sched/src/placed.rs
+++ b/crates/sched/src/predecessor_placement.rs
@@ -10,16 +10,16 @@
 
 /// The latest start of a unit by predecessors.
 #[derive(Debug, Clone)]
-pub(crate) struct PlacedBefore {
+pub(crate) struct PredecessorPlacement {
     /// Its number.
     pub(crate) run: Run,
     /// Workers of the members that are not known to have ended, by name.
     pub(crate) workers: Vec<Option<WorkerId>>,
 }
 
-impl PlacedBefore {
+impl PredecessorPlacement {
     /// Stands for a unit that no predecessor started.
-    pub(crate) const NOWHERE: Self = Self {
+    pub(crate) const NONE: Self = Self {
         run: Run(0),
         workers: Vec::new(),
     };
@@ -29,13 +29,13 @@
         let names = kept.workers.iter();
         let workers = names.map(|name| (!name.as_str().is_empty()).then(|| name.clone()));
         Self {
-            run: kept.started,
+            run: kept.last_started,
             workers: workers.collect(),
         }
     }
 
     /// Takes note that a member's run has ended.
-    pub(crate) fn ended(&mut self, member: usize, run: Run) {
+    pub(crate) fn mark_ended(&mut self, member: usize, run: Run) {
         if run == self.run
             && let Some(worker) = self.workers.get_mut(member)
         {
@@ -44,7 +44,7 @@
     }
 
     /// Takes note that a later start has ended.
-    pub(crate) fn forget_before(&mut self, run: Run) {
+    pub(crate) fn clear_if_older(&mut self, run: Run) {
         if run > self.run {
             self.workers.clear();
         }
@@ -55,13 +55,13 @@
 ///
 /// Of a gang that is being ended, the others count too: where one of their workers is lost, a successor has to know
 /// which task may have taken it down.
-pub(crate) fn placed_names<N>(unit: &Unit, name_of: &N) -> Vec<WorkerId>
+pub(crate) fn member_worker_names<N>(unit: &Unit, name_of: &N) -> Vec<WorkerId>
 where
     N: Fn(WorkerKey) -> Option<WorkerId>,
 {
     let before = &unit.placed_before;
     let mut names: Vec<_> = match (&unit.state, &unit.reservation) {
-        (UnitState::Placed { members, run } | UnitState::Closing { members, run, .. }, _) => {
+        (UnitState::Placed { members, run } | UnitState::Stopping { members, run, .. }, _) => {
             // Of a predecessor's start, members that were not found may have taken their workers down.
             let not_found = |member| {
                 let workers = before.workers.get(member).filter(|_| *run == before.run);
@@ -73,7 +73,7 @@
             };
             members.map(name).collect()
         }
-        (_, Some(reservation)) if unit.announced.is_some() => {
+        (_, Some(reservation)) if unit.start_intent.is_some() => {
             reservation.members().map(name_of).collect()
         }
         _ => before.workers.clone(),
--- a/crates/sched/src/retries.rs
+++ b/crates/sched/src/retries.rs
@@ -8,7 +8,7 @@
 use crate::StopReason;
 use crate::TaskId;
 use crate::WorkerKey;
-use crate::scatter::seed_of;
+use crate::jitter::jitter_seed;
 use crate::worker::Phase;
 
 impl Scheduler {
@@ -30,7 +30,7 @@
         }
         due.sort_unstable();
         for (_, task_run) in due {
-            let has_token = self.retry_budget.has_one(now);
+            let has_token = self.retry_budget.has_token(now);
             if !has_token || !self.workers[key].contact.retry_budget.take(now) {
                 return;
             }
@@ -50,7 +50,7 @@
             options.order_retry_ms,
             options.max_retry_delay_ms,
             retries,
-            seed_of(task_run.0, task_run.1),
+            jitter_seed(task_run.0, task_run.1),
         );
         !run_state.in_flight && now.since(run_state.ordered_at) >= wait_ms
     }
@@ -60,7 +60,7 @@
         let (task, run) = task_run;
         let worker = &mut self.workers[key];
         let withholds_lease = worker.contact.withholds_lease;
-        let is_overfull = worker.is_overfull() || worker.room_doubt.is_some();
+        let is_overcommitted = worker.is_overcommitted() || worker.stale_capacity.is_some();
         let Some(run_state) = worker.runs.get_mut(&task_run) else {
             return;
         };
@@ -69,7 +69,10 @@
             return;
         }
         // A start would set a lease, and a run whose capacity is gone must not be started.
-        if withholds_lease || is_overfull || run_state.orders >= self.options.start_attempts_limit {
+        if withholds_lease
+            || is_overcommitted
+            || run_state.orders >= self.options.start_attempts_limit
+        {
             run_state.begin_stop(now);
             self.send_stop(key, task, run, StopReason::StartInDoubt, now);
             return;
--- a/crates/sched/src/scheduler.rs
+++ b/crates/sched/src/scheduler.rs
@@ -31,17 +31,17 @@
 use crate::ids::JobKey;
 use crate::job::Job;
 use crate::job::UnitState;
-use crate::keeping::CellClock;
-use crate::keeping::EndStamp;
 use crate::leadership_proof::LeadershipProof;
 use crate::maintenance::Maintenance;
+use crate::misdirected::MisdirectedRun;
+use crate::orphans::OrphanedRun;
 use crate::pacing::Interference;
 use crate::pools::Pools;
-use crate::rebirth::Misdirected;
 use crate::recovery::Recovery;
-use crate::rooms::Registrations;
-use crate::strays::Stray;
-use crate::vms::Vms;
+use crate::retention::CellClock;
+use crate::retention::EndStamp;
+use crate::stale_capacity::RegistrationReads;
+use crate::vms::VmInventory;
 use crate::worker::Phase;
 use crate::worker::Worker;
 
@@ -69,7 +69,7 @@
     pub(crate) worker_keys: HashMap<WorkerId, WorkerKey>,
     pub(crate) jobs: SlotMap<JobKey, Job>,
     pub(crate) job_keys: HashMap<JobId, JobKey>,
-    pub(crate) registrations: Registrations,
+    pub(crate) registrations: RegistrationReads,
     /// Jobs that have not ended yet.
     pub(crate) open_jobs: BTreeSet<JobKey>,
     /// Jobs whose progress differs from what is stored.
@@ -82,13 +82,13 @@
     pub(crate) queues: HashMap<SmolStr, QueueStats>,
     pub(crate) recovery: Recovery,
     /// Reported runs whose jobs have not been loaded yet.
-    pub(crate) strays: Vec<Stray>,
+    pub(crate) strays: Vec<OrphanedRun>,
     /// All jobs that were stored before this time have been loaded.
     pub(crate) jobs_read_at: Millis,
     /// The latest times at which workers went silent that were lost afterwards.
     pub(crate) recent_silences: VecDeque<Millis>,
     /// Runs whose start may have reached an incarnation of the worker that is not registered yet.
-    pub(crate) misdirected: Vec<Misdirected>,
+    pub(crate) misdirected: Vec<MisdirectedRun>,
     /// Number of jobs added since this scheduler took over.
     pub(crate) jobs_added: u64,
     pub(crate) leadership_proof: LeadershipProof,
@@ -98,7 +98,7 @@
     pub(crate) wall_clock: Option<DayAnchor>,
     pub(crate) headroom: Headroom,
     pub(crate) interference: Interference,
-    pub(crate) vms: Vms,
+    pub(crate) vms: VmInventory,
     pub(crate) maintenance: Maintenance,
     pub(crate) pools: Pools,
     pub(crate) advice_slots: AdviceSlots,
@@ -117,7 +117,7 @@
             options,
             workers: SlotMap::with_key(),
             worker_keys: HashMap::new(),
-            registrations: Registrations::default(),
+            registrations: RegistrationReads::default(),
             jobs: SlotMap::with_key(),
             job_keys: HashMap::new(),
             open_jobs: BTreeSet::new(),
@@ -137,7 +137,7 @@
             wall_clock: None,
             headroom: Headroom::default(),
             interference: Interference::default(),
-            vms: Vms::default(),
+            vms: VmInventory::default(),
             maintenance: Maintenance::default(),
             pools: Pools::default(),
             advice_slots: AdviceSlots::UNBOUNDED,
@@ -172,7 +172,7 @@
             Event::Renewing { worker } => self.renewing(worker, now),
             Event::RenewalFailed { worker } => self.renewal_failed(worker, now),
             Event::Replaced { worker } => self.replaced(worker, now),
-            Event::Reborn { worker } => self.reborn(worker, now),
+            Event::Restarted { worker } => self.worker_restarted(worker, now),
             Event::StartAnswered {
                 worker,
                 task,
@@ -199,7 +199,7 @@
             } => self.advice_answered(step, &asked, answer, now),
             Event::WavePublished { wave, age_ms } => self.wave_published(wave, age_ms, now),
             Event::WaveRecorded { wave, change } => self.wave_recorded(wave, change),
-            Event::StandbySet(services) => self.set_standby(services),
+            Event::StandbySet(services) => self.set_standby_pools(services),
             Event::VmsListed { asked_at, vms } => self.vms_listed(asked_at, vms),
             Event::VmOrderAnswered { vm, duty, answer } => match duty {
                 VmOperation::Maintenance { wave } => {
@@ -225,10 +225,10 @@
     pub fn state_of(&self, id: JobId) -> Option<JobState> {
         let key = self.job_keys.get(&id)?;
         let job = &self.jobs[*key];
-        if !job.shown.is_terminal() && job.begun {
+        if !job.visible_state.is_terminal() && job.has_started {
             return Some(JobState::Running);
         }
-        Some(job.shown)
+        Some(job.visible_state)
     }
 
     /// Returns the queue that a job belongs to.
@@ -243,7 +243,7 @@
     #[must_use]
     pub fn pending_jobs(&self, queue: &str) -> usize {
         let open = self.open_jobs.iter().map(|key| &self.jobs[*key]);
-        open.filter(|job| !job.begun && job.spec.policy.queue == queue)
+        open.filter(|job| !job.has_started && job.spec.policy.queue == queue)
             .count()
     }
 
@@ -279,7 +279,7 @@
         day: TimeOfDay,
     ) -> Vec<(JobId, u64, JobProgress)> {
         let mut records = Vec::new();
-        let cell = self.cell_clock.read(now);
+        let cell_time = self.cell_clock.read(now);
         while records.len() < limit {
             let Some(key) = self.next_to_record() else {
                 break;
@@ -288,11 +288,14 @@
                 continue;
             };
             if job.state.is_terminal() {
-                job.ended.get_or_insert(EndStamp { cell, day });
+                job.end_stamp.get_or_insert(EndStamp {
+                    cell_time,
+                    wall_time: day,
+                });
             }
             let job = &self.jobs[key];
             let progress = job.progress(|worker| self.name_of(worker));
-            records.push((job.id(), job.changes, progress));
+            records.push((job.id(), job.latest_change, progress));
         }
         records
     }
@@ -323,16 +326,16 @@
         };
         let recorded = |id: JobId| {
             if let Some(key) = job_keys.get(&id) {
-                return jobs[*key].recorded;
+                return jobs[*key].recorded_change;
             }
             let mut strays = strays.iter();
-            if strays.any(|stray| stray.told.task().step.job == id) {
+            if strays.any(|stray| stray.report.task().step.job == id) {
                 return 0;
             }
             // The job was removed, so its ends need not be kept.
             u64::MAX
         };
-        worker.acknowledge_ends(recorded);
+        worker.advance_acknowledged(recorded);
         let left = !worker.unacknowledged.is_empty();
         (worker.next_acknowledgement(), left)
     }
@@ -347,7 +350,7 @@
         }
         self.wall_clock = Some(day);
         for key in &self.open_jobs {
-            self.jobs[*key].set_day(day);
+            self.jobs[*key].set_wall_clock(day);
         }
     }
 
@@ -383,7 +386,7 @@
         let id = spec.id;
         if let Some(key) = self.job_keys.get(&id) {
             // A repeated submit stored the specification of an ended job again.
-            if self.jobs[*key].shown.is_terminal() {
+            if self.jobs[*key].visible_state.is_terminal() {
                 self.actions.push(Action::DropSpec(id));
             }
             return;
@@ -391,10 +394,10 @@
         let accepted_at = Millis(now.0.saturating_sub(age_ms));
         let key = self.insert_open(Job::new(spec, accepted_at, self.wall_clock), now);
         self.jobs_added += 1;
-        self.jobs[key].number = self.jobs_added;
-        self.inherit_if_known_before(key);
-        self.meet_strays(id, now);
-        self.give_up_unknown_runs_of(key, now);
+        self.jobs[key].arrival_number = self.jobs_added;
+        self.inherit_if_known_to_predecessor(key);
+        self.resolve_orphans(id, now);
+        self.expire_unknown_runs_of_job(key, now);
     }
 
     fn insert_open(&mut self, job: Job, now: Millis) -> JobKey {
@@ -414,7 +417,7 @@
             return;
         };
         let job = &self.jobs[key];
-        if job.shown.is_terminal() {
+        if job.visible_state.is_terminal() {
             // The cancellation arrived after the end and left a record in the store.
             self.actions.push(Action::DropSpec(id));
         }
@@ -427,9 +430,9 @@
     /// Marks a job as changed and returns the change number.
     pub(crate) fn mark_changed(&mut self, key: JobKey) -> u64 {
         let job = &mut self.jobs[key];
-        job.changes += 1;
+        job.latest_change += 1;
         self.dirty.insert(key);
-        job.changes
+        job.latest_change
     }
 
     /// Ends a job: stops its runs and prevents further starts.
@@ -474,12 +477,12 @@
                 continue;
             };
             let job = &mut self.jobs[key];
-            job.recorded = job.recorded.max(*change);
-            let complete = job.recorded == job.changes;
+            job.recorded_change = job.recorded_change.max(*change);
+            let complete = job.recorded_change == job.latest_change;
             if job.state.is_terminal() {
-                if complete && !job.shown.is_terminal() {
-                    job.shown = job.state;
-                    job.shown_ended_at = Some(cell_now);
+                if complete && !job.visible_state.is_terminal() {
+                    job.visible_state = job.state;
+                    job.end_visible_at = Some(cell_now);
                     job.steps = Vec::new();
                     job.spec.payload = SmolStr::default();
                     self.actions.push(Action::DropSpec(*id));
@@ -493,7 +496,7 @@
     /// Applies the unit outcomes that are now stored.
     fn apply_recorded_outcomes(&mut self, key: JobKey) {
         let job = &mut self.jobs[key];
-        let recorded = job.recorded;
+        let recorded = job.recorded_change;
         for step in &mut job.steps {
             for unit in &mut step.units {
                 let UnitState::Recording { outcome, change } = unit.state else {
@@ -504,11 +507,11 @@
                 }
                 if outcome == crate::job::Outcome::Done {
                     unit.state = UnitState::Done;
-                    step.left -= 1;
+                    step.unfinished_units -= 1;
                     continue;
                 }
                 unit.state = UnitState::Pending;
-                step.pending += 1;
+                step.pending_units += 1;
                 step.ready_at = None;
             }
         }
@@ -517,7 +520,7 @@
     /// Returns the job, step, unit and gang member of a task.
     pub(crate) fn locate_task(&self, task: TaskId) -> Option<(JobKey, usize, usize, usize)> {
         let key = *self.job_keys.get(&task.step.job)?;
-        let index = self.jobs[key].index_of(task.step)?;
+        let index = self.jobs[key].step_index(task.step)?;
         let step = self.jobs[key].steps.get(index)?;
         let (unit, member) = step.unit_of(task.index)?;
         Some((key, index, unit, member))
--- a/crates/sched/src/tick.rs
+++ b/crates/sched/src/tick.rs
@@ -5,7 +5,7 @@
 use crate::Scheduler;
 use crate::StopReason;
 use crate::WorkerKey;
-use crate::reports::belief;
+use crate::reports::status_note;
 use crate::worker::Phase;
 
 /// Largest number of times that the quarantine of a worker is doubled.
@@ -14,10 +14,10 @@
 impl Scheduler {
     /// Performs all periodic checks.
     pub(crate) fn tick(&mut self, now: Millis) {
-        self.recover(now);
-        self.give_up_strays(now);
-        self.give_up_misdirected(now);
-        self.watch_headroom();
+        self.try_complete_recovery(now);
+        self.discard_orphans(now);
+        self.expire_misdirected(now);
+        self.update_headroom_level();
         let mut keys: Vec<_> = self.workers.keys().collect();
         // The first worker may use up the retry budget of the cell, so the order rotates.
         let turn = usize::try_from(now.0).unwrap_or(0) % keys.len().max(1);
@@ -30,17 +30,17 @@
         }
         self.time_out_advice_calls(now);
         self.advance_waves(now);
-        self.watch_pools(now);
-        self.forget_old(now);
+        self.balance_pools(now);
+        self.forget_expired_jobs(now);
     }
 
     /// Ends the runs of a worker that is silent, or whose lease is withheld, once its lease has expired for certain.
     pub(crate) fn expire_lease(&mut self, key: WorkerKey, now: Millis) {
         let worker = &self.workers[key];
         if (worker.silent || worker.contact.withholds_lease) && worker.lapse_at <= now {
-            self.lapse_runs(key, now);
+            self.expire_runs(key, now);
         }
-        self.detach_if_over(key, now);
+        self.detach_if_idle(key, now);
     }
 
     /// Stops stalled runs and quarantines their worker.
@@ -66,8 +66,8 @@
         for (task, run) in stalled {
             if let Some((job, step, unit, _member)) = self.locate_task(task) {
                 let unit = &mut self.jobs[job].steps[step].units[unit];
-                if !unit.avoid.contains(&key) {
-                    unit.avoid.push(key);
+                if !unit.avoided_workers.contains(&key) {
+                    unit.avoided_workers.push(key);
                 }
             }
             self.stop_run(key, task, run, StopReason::Stalled, now);
@@ -92,10 +92,10 @@
     /// Quarantines a worker after several consecutive failed runs.
     pub(crate) fn quarantine_if_failing(&mut self, key: WorkerKey, now: Millis) {
         let worker = &self.workers[key];
-        if worker.failures_in_row < self.options.run_failures_limit {
+        if worker.consecutive_failures < self.options.run_failures_limit {
             return;
         }
-        self.workers[key].failures_in_row = 0;
+        self.workers[key].consecutive_failures = 0;
         self.quarantine(key, "fails", now);
     }
 
@@ -107,13 +107,13 @@
         let times = 1_u64 << worker.quarantines.min(QUARANTINE_DOUBLINGS);
         worker.quarantines += 1;
         worker.quarantined_until = now.plus(self.options.quarantine_ms * times);
-        let note = belief(worker, why, now);
+        let note = status_note(worker, why, now);
         self.actions.push(note);
     }
 
     /// Stops the checkpointed runs of a worker that is about to leave, so that they continue elsewhere.
     pub(crate) fn evacuate_draining_worker(&mut self, key: WorkerKey, now: Millis) {
-        let note = belief(&self.workers[key], "draining", now);
+        let note = status_note(&self.workers[key], "draining", now);
         self.actions.push(note);
         let mut moves = Vec::new();
         for ((task, run), run_state) in &self.workers[key].runs {
--- a/crates/sched/tests/core/maintenance.rs
+++ b/crates/sched/tests/core/maintenance.rs
@@ -54,7 +54,7 @@
 /// Advances time in steps. VM lists show the given VMs as down, and the store accepts all writes.
 fn pass(driver: &mut Driver, vms: usize, down: &[usize], time_ms: u64) {
     for _ in 0..time_ms / 100 {
-        driver.pass(100);
+        driver.advance(100);
         driver.renew_leases();
         driver.apply(Event::Ticked);
         driver.list_vms(Some(listed(vms, down)));
@@ -157,7 +157,7 @@
         age_ms: 0,
     });
     pass(&mut driver, 3, &[], 5_000);
-    assert_eq!(driver.told, [(WAVE, true)]);
+    assert_eq!(driver.wave_reports, [(WAVE, true)]);
     assert_eq!(ordered(&mut driver), []);
 }
 
@@ -167,12 +167,12 @@
     pass(&mut driver, 2, &[], 4_000);
     answer(&mut driver, vm(0), VmOrderAnswer::Done);
     pass(&mut driver, 2, &[0], 300);
-    assert_eq!(driver.told, [(WAVE, false)]);
+    assert_eq!(driver.wave_reports, [(WAVE, false)]);
     // The other VM is removed.
     pass(&mut driver, 1, &[0], 300);
     answer(&mut driver, vm(1), VmOrderAnswer::InDoubt);
     pass(&mut driver, 1, &[0], 2_000);
-    assert_eq!(driver.told, [(WAVE, false), (WAVE, true)]);
+    assert_eq!(driver.wave_reports, [(WAVE, false), (WAVE, true)]);
 }
 
 #[test]
@@ -187,7 +187,7 @@
     driver.schedule();
     let started = driver.confirm_starts();
     for start in &started {
-        driver.hold(start.worker, &[(start.task, start.run, 10)]);
+        driver.report_running(start.worker, &[(start.task, start.run, 10)]);
     }
     driver.apply(Event::WavePublished {
         wave: wave(2, 1),
@@ -199,7 +199,7 @@
     assert_eq!(moving.len(), 1);
     let stopped = started.iter().find(|start| start.task == moving[0]);
     let stopped = stopped.cloned().expect("one of the two");
-    driver.end(&stopped, RunEnd::Stopped, &[]);
+    driver.report_end(&stopped, RunEnd::Stopped, &[]);
     pass(&mut driver, 2, &[], 300);
     assert_eq!(ordered(&mut driver).len(), 1);
 }
@@ -221,7 +221,7 @@
             .collect::<Vec<_>>()
     };
     for worker in driver.workers.clone() {
-        driver.hold(worker, &on(worker));
+        driver.report_running(worker, &on(worker));
     }
     driver.apply(Event::WavePublished {
         wave: wave(2, 2),
@@ -246,7 +246,7 @@
         ..worker(0, 4)
     }));
     let again = *driver.workers.last().expect("it was attached");
-    driver.hold(again, &[]);
+    driver.report_running(again, &[]);
     driver.submit(1, policy(0), vec![step(4, 1)]);
     let started = driver.start_all();
     let workers: Vec<_> = started.iter().map(|start| start.worker).collect();
@@ -258,7 +258,7 @@
     let mut driver = Driver::new(2, 4);
     let mut asked = 0;
     for _ in 0..100 {
-        driver.pass(100);
+        driver.advance(100);
         let actions = driver.scheduler.handle(Event::Ticked, driver.now);
         let lists = actions
             .iter()
@@ -283,7 +283,7 @@
     driver.schedule();
     let starts = driver.confirm_starts();
     for start in &starts {
-        driver.hold(start.worker, &[(start.task, start.run, 100)]);
+        driver.report_running(start.worker, &[(start.task, start.run, 100)]);
         driver.apply(Event::Renewing {
             worker: start.worker,
         });
@@ -299,7 +299,7 @@
     driver.apply(Event::WavePublished { wave, age_ms: 0 });
     for _ in 0..50 {
         for start in others {
-            driver.hold(start.worker, &[(start.task, start.run, 100)]);
+            driver.report_running(start.worker, &[(start.task, start.run, 100)]);
         }
         pass(&mut driver, 3, &[], 100);
     }
@@ -308,7 +308,7 @@
         [],
         "one of three is already unavailable"
     );
-    driver.hold(lost.worker, &[(lost.task, lost.run, 100)]);
+    driver.report_running(lost.worker, &[(lost.task, lost.run, 100)]);
     pass(&mut driver, 3, &[], 100);
     assert_eq!(evacuated_tasks(&driver).len(), 1);
 }
@@ -321,14 +321,14 @@
     pass(&mut driver, 2, &[], 4_000);
     assert_eq!(ordered(&mut driver), [vm(0)]);
     // The list is requested before the order is carried out, and arrives after another list was requested.
-    driver.pass(600);
+    driver.advance(600);
     driver.apply(Event::Ticked);
     let first_asked_at = driver.now;
     assert_eq!(driver.lists_asked.last(), Some(&first_asked_at));
     answer(&mut driver, vm(0), VmOrderAnswer::Done);
     driver.record();
     for _ in 0..21 {
-        driver.pass(100);
+        driver.advance(100);
         driver.apply(Event::Ticked);
     }
     assert!(driver.lists_asked.last() > Some(&first_asked_at));
@@ -337,7 +337,7 @@
         vms: Some(listed(2, &[])),
     });
     for _ in 0..3 {
-        driver.pass(100);
+        driver.advance(100);
         driver.apply(Event::Ticked);
         driver.record();
     }
@@ -360,13 +360,10 @@
         wave: later,
         age_ms: 0,
     });
-    driver.pass(100);
+    driver.advance(100);
     driver.apply(Event::Ticked);
     driver.record();
-    assert!(!driver.told.contains(&(WAVE + 1, true)));
+    assert!(!driver.wave_reports.contains(&(WAVE + 1, true)));
     pass(&mut driver, 1, &[], 1_000);
-    assert!(
-        driver.told.contains(&(WAVE + 1, true)),
-        "the VM is removed now"
-    );
+assert ! ( driver . wave_reports . contains ( & ( WAVE + 1 , true ) ) , "the VM is removed now" ) ;
 }
--- a/crates/sched/tests/core/review.rs
+++ b/crates/sched/tests/core/review.rs
@@ -19,7 +19,7 @@
 use crate::driver::Driver;
 use crate::driver::policy;
 use crate::driver::step;
-use crate::site::Site;
+use crate::simulation::Simulation;
 
 fn answer(driver: &mut Driver, start: &StartOrder, answer: StartAnswer) {
     driver.apply(Event::StartAnswered {
@@ -38,8 +38,8 @@
     driver.submit(1, policy(0), vec![step(1, 1)]);
     driver.schedule();
     let long = driver.starts.remove(0);
-    driver.pass(50);
-    driver.hold(long.worker, &[(long.task, long.run, 0)]);
+    driver.advance(50);
+    driver.report_running(long.worker, &[(long.task, long.run, 0)]);
     driver.submit(2, policy(0), vec![step(6, 1)]);
     driver.schedule();
     let unsent = std::mem::take(&mut driver.starts);
@@ -47,12 +47,12 @@
     for start in &unsent {
         answer(&mut driver, start, StartAnswer::NotSent);
     }
-    driver.pass(200);
+    driver.advance(200);
     answer(&mut driver, &long, StartAnswer::InDoubt);
     for percent in 1..100 {
-        driver.pass(600);
+        driver.advance(600);
         driver.renew_leases();
-        driver.hold(long.worker, &[(long.task, long.run, percent)]);
+        driver.report_running(long.worker, &[(long.task, long.run, percent)]);
         driver.apply(Event::Ticked);
         driver.record();
         driver.schedule();
@@ -60,7 +60,7 @@
     assert!(
         !(driver.starts.is_empty() && driver.stops.is_empty()),
         "nothing was sent to a healthy worker for a minute: {:?}",
-        driver.beliefs
+        driver.status_changes
     );
 }
 
@@ -79,25 +79,25 @@
 /// Returns whether the lease of the only healthy worker is withheld. Three of the four tasks on each worker are
 /// cancelled.
 fn healthy_worker_loses_lease(workers: usize, healthy: usize) -> bool {
-    let mut site = Site::new(workers, 4);
-    site.work_ms = 60_000;
+    let mut simulation = Simulation::new(workers, 4);
+    simulation.work_ms = 60_000;
     let tasks = 4 * u64::try_from(workers).expect("few");
-    site.submit(1..tasks + 1);
-    site.play(500);
+    simulation.submit(1..tasks + 1);
+    simulation.run_for(500);
     for index in 0..workers {
         let time_ms = if index == healthy { 500 } else { 1_000_000 };
-        site.shut(index, time_ms);
+        simulation.reset_orders(index, time_ms);
     }
     let mut cancelled = BTreeMap::new();
-    for sent in site.sent.clone() {
+    for sent in simulation.sent.clone() {
         let count = cancelled.entry(sent.worker).or_insert(0);
         if *count < 3 {
             *count += 1;
-            site.driver.cancel(sent.task.step.job.0);
+            simulation.driver.cancel(sent.task.step.job.0);
         }
     }
-    site.play(2 * Options::default().in_doubt_limit_ms);
-    site.beliefs_of(healthy).contains(&"lease_let_lapse")
+    simulation.run_for(2 * Options::default().in_doubt_limit_ms);
+    simulation.beliefs_of(healthy).contains(&"lease_let_lapse")
 }
 
 /// An order may be reset within a millisecond, and the worker's next report may follow as quickly if it lists an end.
@@ -117,13 +117,13 @@
     driver.submit(2, policy(1), vec![fills]);
     driver.schedule();
     let starts = driver.confirm_starts();
-    driver.pass(500);
+    driver.advance(500);
     let loads = [(&starts[0], 90), (&starts[1], 4_000)];
-    driver.hold_loads(starts[0].worker, &loads);
+    driver.report_loads(starts[0].worker, &loads);
     assert!(driver.answer_paces(false).is_some(), "the first order");
     let mut repeats = 0;
     for _ in 0..Options::default().order_retry_ms / 2 {
-        driver.hold_loads(starts[0].worker, &loads);
+        driver.report_loads(starts[0].worker, &loads);
         repeats += u32::from(driver.answer_paces(false).is_some());
     }
     assert_eq!(repeats, 0, "orders sent again within 150 ms");
@@ -144,7 +144,7 @@
     let serving = driver.confirm_starts();
     let shut = serving[0].worker;
     assert!(serving.iter().all(|start| start.worker == shut));
-    driver.pass(10);
+    driver.advance(10);
     driver.submit(2, policy(0), vec![step(1, 1)]);
     driver.schedule();
     let untaken = driver.starts.remove(0);
@@ -152,11 +152,11 @@
     answer(&mut driver, &untaken, StartAnswer::InDoubt);
     let running: Vec<_> = serving.iter().map(|s| (s.task, s.run, 100)).collect();
     for _ in 0..600 {
-        driver.pass(100);
+        driver.advance(100);
         driver.renew_leases();
         let workers = driver.workers.clone();
-        driver.hold(workers[0], if workers[0] == shut { &running } else { &[] });
-        driver.hold(workers[1], if workers[1] == shut { &running } else { &[] });
+        driver.report_running(workers[0], if workers[0] == shut { &running } else { &[] });
+        driver.report_running(workers[1], if workers[1] == shut { &running } else { &[] });
         driver.apply(Event::Ticked);
         driver.record();
         driver.schedule();
@@ -175,5 +175,5 @@
             answer(&mut driver, &start, StartAnswer::InDoubt);
         }
     }
-    panic!("it waited for a minute: {:?}", driver.beliefs);
+    panic!("it waited for a minute: {:?}", driver.status_changes);
 }
--- a/crates/sched/tests/schedules/simulation/orders.rs
+++ b/crates/sched/tests/schedules/simulation/orders.rs
@@ -9,7 +9,7 @@
 use syc_cell::ports::VmCommand;
 use syc_cell::ports::VmOrderError;
 use syc_sched::AdviceAnswer;
-use syc_sched::Allowed;
+use syc_sched::AllowedWorker;
 use syc_sched::Event;
 use syc_sched::Run;
 use syc_sched::StartAnswer;
@@ -239,7 +239,7 @@
                 incarnation.map_or(0, |incarnation| incarnation.slot + incarnation.restarts % 2);
             let denied = (step.job.0 + u64::from(step.step)) % WORKERS;
             if advice_slot % WORKERS != denied {
-                allowed.push(Allowed {
+                allowed.push(AllowedWorker {
                     worker: *worker,
                     ticket: format_smolstr!("{step}"),
                 });
