--- a/crates/cell/src/adviser.rs
+++ b/crates/cell/src/adviser.rs
@@ -1,4 +1,4 @@
-//! Calls for advice that a node makes on behalf of the scheduler.
+//! Calls to the advice service that a node makes on behalf of the scheduler.
 
 use std::rc::Rc;
 
@@ -18,7 +18,7 @@
 use crate::ports::Platform;
 use crate::unreadable::Source;
 
-/// Answers a scheduler that asks for advice.
+/// Handles an advice query of the scheduler.
 pub(crate) async fn handle_query<P>(node: &Rc<Node<P>>, query: AdviceQuery) -> CellBody
 where
     P: Platform,
@@ -55,14 +55,14 @@
     }
 }
 
-/// Reads what a node answered to the scheduler.
+/// Decodes a node's reply to an advice query.
 pub(crate) fn decode_reply(reply: CellBody) -> Result<Advice, AdviceError> {
     let failed = |text| AdviceError(SmolStr::new_static(text));
     let CellBody::AdviceReply(reply) = reply else {
-        return Err(failed("the node answered something else"));
+        return Err(failed("unexpected reply of the node"));
     };
     if !reply.given {
-        return Err(failed("the service gave none to the node"));
+        return Err(failed("the node got no answer from the advice service"));
     }
     let allowed = reply.allowed.into_iter().map(|allowed| {
         let worker = WorkerId::new(allowed.worker);
--- a/crates/cell/src/claims.rs
+++ b/crates/cell/src/claims.rs
@@ -1,7 +1,7 @@
-//! Who is the scheduler: the store's order of claims decides.
+//! Leader election: the order of claims in the store decides which node is the scheduler.
 //!
-//! A claim is appended on the condition that nothing came after what the claimant has read, so a
-//! claim never overtakes a heartbeat of the holder. Its offset makes the fencing token.
+//! A claim is appended only if the partition still ends where the claimant has read to, so a claim can't
+//! follow a heartbeat that the claimant has not seen. The fencing token is derived from the claim's offset.
 
 use std::rc::Rc;
 
@@ -24,39 +24,39 @@
 use crate::records::HolderRecord;
 use crate::unreadable::Source;
 
-/// Wait after a read that failed.
+/// Delay after a failed read or claim.
 const RETRY_MS: u64 = 60;
 
-/// Longest wait of a read for news: it also shows that the connection still works.
+/// Longest wait of a read for new records. Its answer also shows that the connection still works.
 const LONG_POLL_MS: u64 = 800;
 
-/// A scheduler that is heard of otherwise is waited for so many times as long.
+/// Factor for the heartbeat timeout while the scheduler answers calls of this node.
 const REACHABLE_TIMEOUT_FACTOR: u64 = 4;
 
-/// Shortest wait of a read.
+/// Shortest wait of a read for new records.
 const MIN_POLL_MS: u64 = 20;
 
-/// A holder of which nothing was read for this long gives no orders any more.
+/// A holder without the `proves` flag sends no more orders once no record of it was read for this long.
 const UNPROVEN_HOLDER_MS: u64 = 15_000;
 
-/// What a node has read of the claims.
+/// State that a node derives from the claims and heartbeats in the store.
 #[derive(Debug, Default)]
 struct ClaimLog {
-    /// Offset to read on from; none before the first read.
+    /// Offset of the next read. `None` until the newest records were read.
     position: Option<u64>,
-    /// The newest claim, unless its holder gave the role up.
+    /// Holder of the newest claim, unless it released the role.
     holder: Option<Holder>,
-    /// Token of the newest claim whose holder gave the role up.
+    /// Token of the newest claim that was released.
     released_token: u64,
-    /// When the newest heartbeat was read.
+    /// Time at which the newest claim or heartbeat was read.
     heartbeat_seen_at: Millis,
-    /// When the first configuration was known; without one, no node may claim.
+    /// Time at which the first configuration was known. Without a configuration, no node may claim.
     configured_at: Option<Millis>,
-    /// When the newest record was read of a holder that starts jobs without a proof.
+    /// Time at which the newest record without the `proves` flag was read.
     unproven_seen_at: Option<Millis>,
 }
 
-/// Follows the claims, and claims when there is no scheduler.
+/// Follows the claims and heartbeats, and claims the role when there is no scheduler.
 pub(crate) async fn follow_claims<P>(node: Rc<Node<P>>)
 where
     P: Platform,
@@ -111,7 +111,7 @@
     }
 }
 
-/// Returns how long a read may wait without a due claim coming late.
+/// Returns how long a read may wait without delaying a claim.
 fn wait_ms<P>(node: &Rc<Node<P>>, claims: &ClaimLog) -> u64
 where
     P: Platform,
@@ -122,7 +122,7 @@
 }
 
 impl ClaimLog {
-    /// Says whether no holder that starts jobs without a proof can give orders any more.
+    /// Returns whether no holder without the `proves` flag can still send orders.
     fn predecessors_prove(&self) -> bool {
         self.unproven_seen_at
             .is_none_or(|at| now().since(at) > UNPROVEN_HOLDER_MS)
@@ -159,7 +159,7 @@
         let token = if is_claim { offset + 1 } else { read.token };
         let known = self.holder.as_ref().map_or(0, |holder| holder.token);
         if token < known || token <= self.released_token {
-            // A heartbeat of a predecessor, or one that came after its last word.
+            // A heartbeat of a predecessor, or one that arrived after the holder released the role.
             return;
         }
         if read.released {
@@ -175,10 +175,10 @@
     }
 }
 
-/// Returns the time since which this node could have claimed, and the store has answered without any heartbeat.
+/// Returns the start of the election timeout: the latest heartbeat, store failure or first configuration.
 ///
-/// Nodes wait for the first configuration at the same time. Were that wait a part of their patience, it would be over
-/// for all of them at once, and a node with a thin link would be as likely to be chosen as any.
+/// All nodes wait for the first configuration at the same time. If that wait counted, their timeouts would have
+/// expired together, and a node with a slow link would be as likely to win as any other.
 fn silent_since<P>(node: &Rc<Node<P>>, claims: &ClaimLog) -> Millis
 where
     P: Platform,
@@ -188,7 +188,7 @@
     last_sign_at.max(configured_at)
 }
 
-/// Returns how long a node waits for a heartbeat before it claims.
+/// Returns how long this node waits for a heartbeat before it claims the role.
 fn election_timeout_ms<P>(node: &Rc<Node<P>>, claims: &ClaimLog) -> u64
 where
     P: Platform,
@@ -198,10 +198,10 @@
     let delay_ms = node.settings.claim_delay_ms();
     let heartbeat_timeout_ms = match &claims.holder {
         None => 0,
-        // An earlier incarnation of this very node held the role, and it is over.
+        // An earlier process of this node held the role, and it has ended.
         Some(holder) if is_own_predecessor(node, holder) => 0,
         Some(_) if node.holder_suspected.get() => timing.suspected_heartbeat_timeout_ms,
-        // Its heartbeats are late where the store is slow.
+        // A slow store delays heartbeats of a scheduler that is alive.
         Some(_) if is_scheduler_reachable(node) => {
             timing.heartbeat_timeout_ms * REACHABLE_TIMEOUT_FACTOR
         }
@@ -210,7 +210,7 @@
     heartbeat_timeout_ms + jitter_ms + delay_ms
 }
 
-/// Says whether the scheduler itself tells this node that it is there and that the store answers it.
+/// Returns whether the scheduler's last reply was recent and reported that the store answers it.
 fn is_scheduler_reachable<P>(node: &Node<P>) -> bool
 where
     P: Platform,
@@ -269,14 +269,14 @@
         }
         Err(error @ AppendError::EndMismatch { .. }) => log::claim_lost(&error),
         Err(error) => {
-            // If it was carried out after all, the claim will be read like any other.
+            // If the append was carried out after all, the claim will be read from the store like any other.
             log::claim_lost(&error);
             pause(RETRY_MS).await;
         }
     }
 }
 
-/// Lets the node act on who is the scheduler now.
+/// Updates the node's view of the scheduler, and starts or ends its own role.
 fn update_holder<P>(node: &Rc<Node<P>>, claims: &ClaimLog)
 where
     P: Platform,
--- a/crates/cell/src/clock.rs
+++ b/crates/cell/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clocks of a node: the steady one, and the time of day.
+//! Clocks of a node: the monotonic clock and the wall clock.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicI64;
@@ -12,8 +12,8 @@
 use syc_types::Millis;
 use syc_types::TimeOfDay;
 
-/// Returns the time on the clock that also counts while the VM is suspended, so that a lease that
-/// lapsed meanwhile is seen as lapsed.
+/// Returns the monotonic time. This clock also advances while the VM is suspended, so a lease that expired during a
+/// suspension is seen as expired.
 #[must_use]
 pub fn now() -> Millis {
     let time = clock_gettime(ClockId::Boottime);
@@ -22,14 +22,14 @@
     Millis(seconds.saturating_mul(1_000).saturating_add(millis))
 }
 
-/// Where a node reads the time of day. It may jump; tests make it.
+/// Wall clock of a node. It may jump; tests set an offset to simulate this.
 #[derive(Debug, Clone, Default)]
 pub struct WallClock {
     offset_ms: Arc<AtomicI64>,
 }
 
 impl WallClock {
-    /// Returns the time of day.
+    /// Reads the wall clock, including the offset.
     #[must_use]
     pub fn read(&self) -> TimeOfDay {
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
@@ -37,13 +37,13 @@
         TimeOfDay(read_ms.saturating_add_signed(self.offset_ms.load(Ordering::Relaxed)))
     }
 
-    /// Sets how far it is off from the clock of the VM.
+    /// Sets the offset from the VM's clock.
     pub fn set_offset_ms(&self, offset_ms: i64) {
         self.offset_ms.store(offset_ms, Ordering::Relaxed);
     }
 }
 
-/// Clocks that are off by as much are the same for a node.
+/// Compares the offsets, so that settings with equal clocks are equal.
 impl PartialEq for WallClock {
     fn eq(&self, other: &Self) -> bool {
         let offset_ms = |clock: &Self| clock.offset_ms.load(Ordering::Relaxed);
@@ -51,7 +51,7 @@
     }
 }
 
-/// Waits for a time.
+/// Waits for `time_ms` milliseconds.
 pub async fn pause(time_ms: u64) {
     actix_rt::time::sleep(Duration::from_millis(time_ms)).await;
 }
--- a/crates/cell/src/clock_agreement.rs
+++ b/crates/cell/src/clock_agreement.rs
@@ -1,8 +1,8 @@
-//! The time of day that the nodes of a cell agree on: timed jobs are due by it, and nothing else is decided by it.
+//! Wall-clock time that the nodes of a cell agree on. It decides when timed jobs are due, and nothing else.
 //!
-//! The scheduler hears every node's clock and takes the one in the middle. A step of that counts only once it
-//! has lasted: a clock that is set for good is followed, one that jumps there and back is not. Each node hears
-//! what the scheduler believes, and goes on from it when it becomes the scheduler.
+//! Every node reports its wall clock to the scheduler, which uses the median. A step of the median is followed only
+//! after it has lasted for a while: a clock that was set is followed, one that jumps back and forth is not. Nodes
+//! receive the agreed time from the scheduler and resume from it when they become the scheduler.
 
 use std::collections::BTreeMap;
 
@@ -11,35 +11,35 @@
 use syc_types::Millis;
 use syc_types::TimeOfDay;
 
-/// Clocks that went apart by less are followed at once: none runs as fast as another.
+/// Smaller differences are followed at once, because clocks drift.
 const MAX_SLEW_MS: u64 = 250;
 
-/// A step counts once it has lasted this long.
+/// A step is followed after it has lasted this long.
 const STEP_SETTLE_MS: u64 = 30_000;
 
-/// A node that has not told its time of day for this long is not counted: many contacts have failed.
+/// Reports older than this are ignored. Many contacts of the node have failed by then.
 const REPORT_MAX_AGE_MS: u64 = 3_000;
 
-/// A time of day, and how many clocks it rests on.
+/// Agreed wall-clock time and the number of clocks that support it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AgreedTime {
-    /// The time of day.
+    /// Wall-clock time at a point of the monotonic clock.
     pub anchor: DayAnchor,
-    /// Clocks that were heard, at most at any time.
+    /// Greatest number of clocks that contributed to the median so far.
     pub clocks: u32,
 }
 
-/// Follows the clocks of all nodes.
+/// Derives the agreed time from the clocks of all nodes.
 #[derive(Debug, Clone, Default)]
 pub struct ClockAgreement {
     reports: BTreeMap<SmolStr, DayAnchor>,
     agreed: Option<AgreedTime>,
-    /// The first look at which the clocks showed something else.
+    /// First median of a step that has not lasted long enough yet.
     pending_step: Option<DayAnchor>,
 }
 
 impl ClockAgreement {
-    /// Goes on from what a predecessor believed, where that was heard.
+    /// Resumes from the time that a predecessor reported, if any.
     #[must_use]
     pub fn resume(agreed: Option<AgreedTime>) -> Self {
         Self {
@@ -48,17 +48,17 @@
         }
     }
 
-    /// Takes what the clock of another node shows.
+    /// Records the reading of another node's clock.
     pub fn report(&mut self, node: SmolStr, day: DayAnchor) {
         self.reports.insert(node, day);
     }
 
-    /// Takes what the scheduler's own clock shows, and returns what counts.
+    /// Records the reading of the scheduler's own clock and returns the agreed time.
     pub fn update(&mut self, own: DayAnchor) -> AgreedTime {
         let seen = self.median(own);
         let known = self.agreed.filter(|known| seen.clocks <= known.clocks);
         let Some(known) = known else {
-            // What more clocks agree on counts at once.
+            // A median of more clocks than before is accepted at once.
             return self.accept(seen);
         };
         let followed = AgreedTime {
@@ -84,7 +84,7 @@
         agreed
     }
 
-    /// Returns the time of day in the middle; of two, the earlier, so that nothing starts before its time.
+    /// Returns the median. Of two middle values it uses the earlier, so that no job starts before its time.
     fn median(&mut self, own: DayAnchor) -> AgreedTime {
         let now = own.at;
         self.reports
@@ -103,7 +103,7 @@
     }
 }
 
-/// Returns what another node told of the time of day; none where it told nothing.
+/// Returns the wall-clock time that another node reported at `at`. A report of 0 means that there is none.
 pub(crate) fn reported_anchor(at: Millis, day_ms: u64) -> Option<DayAnchor> {
     let day = TimeOfDay(day_ms);
     (day_ms > 0).then_some(DayAnchor { at, day })
--- a/crates/cell/src/configuration.rs
+++ b/crates/cell/src/configuration.rs
@@ -1,47 +1,47 @@
-//! The configuration in force: queues and where their jobs come in.
+//! Configuration of a cell: queues and the routes of requests to them.
 
 use smol_str::SmolStr;
 use syc_sched::QueuePolicy;
 use syc_types::ServiceName;
 
-/// Everything that operators have published, as one version.
+/// One version of the configuration that operators publish.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Configuration {
-    /// Its number; later versions have greater ones.
+    /// Version number, which increases with each publication.
     pub version: u64,
-    /// The routes.
+    /// Routes of requests to queues.
     pub routes: Vec<Route>,
-    /// Services that have workers; none where they are not told.
+    /// Services whose workers may be used. Empty if all may.
     pub services: Vec<ServiceName>,
-    /// Services whose VMs are off until they are moved to another pool.
+    /// Services whose VMs stay off until they are moved to another pool.
     pub standby: Vec<ServiceName>,
-    /// Largest body of a request.
+    /// Largest request body in bytes.
     pub body_limit_bytes: usize,
 }
 
 impl Configuration {
-    /// Says whether workers of a service may be used.
+    /// Returns whether workers of a service may be used.
     #[must_use]
     pub fn names_service(&self, service: &ServiceName) -> bool {
         self.services.is_empty() || self.services.contains(service)
     }
 }
 
-/// A way in to a queue.
+/// Route of requests to a queue.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Host that requests name.
+    /// Host of the request.
     pub host: SmolStr,
-    /// Begin of their path.
+    /// Prefix of the request path.
     pub path_prefix: SmolStr,
-    /// Time that a request may take.
+    /// Timeout of a request.
     pub timeout_ms: u64,
-    /// The queue's policy.
+    /// Policy of the queue.
     pub policy: QueuePolicy,
 }
 
 impl Configuration {
-    /// Finds the route of a request: the longest prefix of its path under its host.
+    /// Finds the route of a request: among the routes of its host, the one with the longest prefix of its path.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let mut best: Option<&Route> = None;
--- a/crates/cell/src/contact.rs
+++ b/crates/cell/src/contact.rs
@@ -1,4 +1,5 @@
-//! Calls between the nodes of a cell: every node keeps in touch with the scheduler, and only with it.
+//! Calls between the nodes of a cell. Every node exchanges periodic contacts with the scheduler's node, and with
+//! no other.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -26,34 +27,34 @@
 use crate::queries;
 use crate::unreadable::Source;
 
-/// A connection attempt to another node may take this long.
+/// Timeout of a connection attempt to another node.
 const CONNECT_TIMEOUT_MS: u64 = 300;
 
-/// A scheduler that has had no answer of the store for this long, while another node has, is taken to
-/// be turned away: two heartbeats and their repeats have failed by then.
+/// A scheduler counts as cut off from the store when it has had no answer from it for this long while another node
+/// has. Two heartbeats and their repeats have failed by then.
 const STORE_UNREACHABLE_MS: u64 = 300;
 
-/// A scheduler that said something within this time is there: a few calls.
+/// A scheduler counts as healthy for this long after its last reply. This covers a few contacts.
 const HEALTHY_WITHIN_MS: u64 = 600;
 
-/// Calls without an answer after which the scheduler is suspected to be gone.
+/// Consecutive unanswered calls after which the scheduler is suspected to have failed.
 const SUSPECTED_MISSES: u32 = 2;
 
-/// The link to the node that is the scheduler.
+/// Link to the node that is the scheduler.
 #[derive(Debug)]
 pub(crate) struct HolderLink {
     client: PeerClient,
     pub(crate) token: u64,
-    /// Whether its store answers it.
+    /// Whether the store answers the scheduler's node.
     store_answers: Cell<bool>,
-    /// Time that an append takes there.
+    /// Append time at the scheduler's node.
     append_ms: Cell<u64>,
-    /// When it last answered.
+    /// Time of the scheduler's last reply.
     answered_at: Cell<Millis>,
-    /// When it gave that answer, on its own clock.
+    /// Time of that reply on the scheduler's own clock.
     remote_answered_at: Cell<Millis>,
     answers: Cell<bool>,
-    /// Calls in a row without an answer.
+    /// Consecutive calls without an answer.
     misses: Cell<u32>,
 }
 
@@ -72,23 +73,23 @@
         })
     }
 
-    /// Says whether the scheduler's node can append for this one.
+    /// Returns whether the scheduler's node can store records for this node.
     pub(crate) fn can_relay(&self) -> bool {
         self.store_answers.get() && self.answers.get()
     }
 
-    /// Says whether the scheduler has just said that it is there, and that the store answers it.
+    /// Returns whether the scheduler has replied recently and reported that the store answers it.
     pub(crate) fn is_healthy(&self) -> bool {
         self.can_relay() && now().since(self.answered_at.get()) < HEALTHY_WITHIN_MS
     }
 
-    /// Returns the time that an append takes at the scheduler's node, as it told last.
+    /// Returns the append time that the scheduler's node last reported.
     pub(crate) const fn append_ms(&self) -> u64 {
         self.append_ms.get()
     }
 
-    /// Calls the scheduler's node about something that may take it long. That there is no answer in time says
-    /// nothing of the link then.
+    /// Makes a call that the scheduler's node may answer late. A timeout does not reset the link, because it does not
+    /// show that the link is broken.
     pub(crate) async fn call_without_reset(
         &self,
         query: CellBody,
@@ -99,7 +100,7 @@
         decode(&reply)
     }
 
-    /// Calls the scheduler's node.
+    /// Makes a call to the scheduler's node. A timeout resets the link.
     pub(crate) async fn call(
         &self,
         query: CellBody,
@@ -116,7 +117,7 @@
     }
 }
 
-/// Calls a node; a link on which an answer does not come is given up.
+/// Makes a call to a node, and resets the connection if the call fails.
 pub(crate) async fn call(
     client: &PeerClient,
     query: CellBody,
@@ -126,12 +127,12 @@
     decode(&reply.inspect_err(|_| client.reset())?)
 }
 
-/// Reads a reply. A node that can't read the call answers with nothing, and tells it itself.
+/// Decodes a reply. A node that can't decode the call sends an empty reply and logs the error itself.
 fn decode(reply: &[u8]) -> Result<CellBody, CallError> {
     CellMessage::decoded(reply).map_err(|_unreadable| CallError::NoReply)
 }
 
-/// Tells the scheduler again and again that this node is there, and hears whether it is.
+/// Contacts the scheduler periodically, so that both nodes know that the other is alive.
 pub(crate) async fn run_contact_loop<P>(node: Rc<Node<P>>)
 where
     P: Platform,
@@ -148,7 +149,7 @@
     }
 }
 
-/// Returns the link to the scheduler, a new one where another is the scheduler now.
+/// Returns the link to the scheduler. Creates a new one if the scheduler has changed.
 fn current_link<P>(node: &Rc<Node<P>>) -> Option<Rc<HolderLink>>
 where
     P: Platform,
@@ -202,15 +203,15 @@
     if let Ok(CellBody::ContactReply(reply)) = &reply {
         link.remote_answered_at.set(Millis(reply.answered_at_ms));
     }
-    // What waits goes another way where the scheduler's node has come or gone.
+    // Whether pending records can be relayed may have changed.
     node.submissions.decide_soon();
     update_suspicion(node, link, &reply);
 }
 
-/// Suspects the scheduler to be gone: its process takes no connections, is another one that does
-/// not hold the role, or twice gave no answer.
+/// Updates whether the scheduler is suspected to have failed. It is if its process accepts no connections, does not
+/// hold the role, or gave no answer twice in a row.
 ///
-/// This only shortens the time for which the store has to show no heartbeat of it.
+/// A suspicion only shortens the heartbeat timeout after which another node claims the role.
 fn update_suspicion<P>(node: &Rc<Node<P>>, link: &HolderLink, reply: &Result<CellBody, CallError>)
 where
     P: Platform,
@@ -228,7 +229,7 @@
     }
 }
 
-/// Answers a call of another node.
+/// Handles a call of another node and returns the reply.
 pub(crate) async fn handle_call<P>(node: &Rc<Node<P>>, call: &[u8]) -> Bytes
 where
     P: Platform,
@@ -254,21 +255,21 @@
             CellBody::RelayReply(reply)
         }
         _reply => {
-            node.report_unreadable(Source::Peers, "reply", "a reply came as a call");
+            node.report_unreadable(Source::Peers, "reply", "received a reply instead of a call");
             return Bytes::new();
         }
     };
     CellMessage::encoded(reply)
 }
 
-/// Takes what another node has stored. Says whether the scheduler is here and has it.
+/// Passes a record that another node has stored to the scheduler. Returns whether this node is the scheduler.
 fn record_stored_notice<P>(node: &Rc<Node<P>>, notice: StoredNotice) -> bool
 where
     P: Platform,
 {
     if notice.partition >= node.settings.job_partitions() {
-        // Removing the job would make the partition, and with it a topic.
-        let reason = "there is no such partition";
+        // Removing the job later would create the partition, and with it a topic.
+        let reason = "the partition does not exist";
         node.report_unreadable(Source::Peers, "notice", reason);
         return false;
     }
@@ -289,8 +290,8 @@
 {
     let leader = node.leader();
     let partition = leader.as_ref().map_or(0, |leader| leader.met(contact));
-    // A scheduler that the store turns away cannot note what ends: a node that the store answers
-    // need not wait out its silence.
+    // A scheduler that is cut off from the store can't record ended runs. A node that the store answers should replace
+    // it without waiting for the full heartbeat timeout.
     let store = node.store_view();
     let unanswered = !store.answers && store.answered_ms > STORE_UNREACHABLE_MS;
     let cut_off_from_store = contact.store_answers && unanswered;
--- a/crates/cell/src/follow.rs
+++ b/crates/cell/src/follow.rs
@@ -1,4 +1,4 @@
-//! Following the configuration that operators publish in the store.
+//! Follows the configuration and the upkeep waves that operators publish in the store.
 
 use std::rc::Rc;
 
@@ -18,13 +18,13 @@
 use crate::unreadable::Source;
 use crate::unreadable::UNREADABLE_KEY;
 
-/// A read waits this long for news; it also shows that the connection still works.
+/// Longest wait of a read for new records. Its answer also shows that the connection still works.
 const LONG_POLL_MS: u64 = 800;
 
-/// Wait after a read that failed.
+/// Delay after a failed read.
 const RETRY_MS: u64 = 100;
 
-/// Applies every configuration that has a greater version, as soon as the store shows it.
+/// Applies each configuration with a greater version as soon as it is in the store.
 pub(crate) async fn follow_configuration<P>(node: Rc<Node<P>>)
 where
     P: Platform,
@@ -52,7 +52,7 @@
     Some(newest.read_from)
 }
 
-/// Reads on; where the store does not answer, the position is kept.
+/// Reads the records at `from` and returns the next position. The position is kept if the store does not answer.
 async fn read_next<P>(node: &Node<P>, from: u64) -> Option<u64>
 where
     P: Platform,
@@ -100,8 +100,8 @@
     }
 }
 
-/// Remembers a wave, and tells the scheduler if it is here. What is published of a wave stays in the
-/// store for good, so one that was seen before is nothing new.
+/// Records a wave and passes it to the scheduler if this node holds the role. Published waves stay in the store
+/// forever, so waves that are already known are skipped.
 fn record_wave<P>(node: &Node<P>, wave: Wave)
 where
     P: Platform,
--- a/crates/cell/src/lib.rs
+++ b/crates/cell/src/lib.rs
@@ -1,11 +1,12 @@
 //! A node of a cell.
 //!
-//! Every node takes callers' requests and stores what they submit. One node at a time is the
-//! scheduler: the store's order of claims decides which, and the offset of the claim is the fencing
-//! token of all its orders. The others ask it, call for advice on its behalf, and stand ready.
+//! Every node accepts requests from callers and stores the jobs that they submit. One node at a time is
+//! the scheduler: the order of claims in the store decides which, and the offset of the winning claim is the
+//! fencing token of all its orders. The other nodes forward queries to it, call the advice service on its
+//! behalf, and are ready to take over.
 //!
-//! Layers, from the outside in: [`ports`] (what the platform gives), [`Node`] (what all nodes do),
-//! `leader` (what the scheduler does) over the pure decisions of `syc-sched`.
+//! Layers, from the outside in: [`ports`] (interfaces to the platform), [`Node`] (what every node does),
+//! `leader` (what the scheduler does), on top of the I/O-free decisions of `syc-sched`.
 
 mod adviser;
 mod claims;
--- a/crates/cell/src/log.rs
+++ b/crates/cell/src/log.rs
@@ -1,4 +1,4 @@
-//! The lines that a node writes, one for each decision and each change of belief.
+//! Log events of a node, one for each decision and each change of observed state.
 
 mod workers;
 
@@ -129,7 +129,7 @@
         .emit();
 }
 
-/// What a takeover read, and how long that took.
+/// State that a takeover loaded, and how long it took.
 #[derive(Debug)]
 pub(crate) struct Loaded {
     pub(crate) counts: Counts,
@@ -209,16 +209,16 @@
         .emit();
 }
 
-/// An order that was refused or has no answer, and what was under way then.
+/// Order that was refused or got no answer, and the state of its worker's connections.
 #[derive(Debug)]
 pub(crate) struct FailedOrder<'a> {
     pub(crate) task: TaskId,
     pub(crate) run: Run,
     pub(crate) worker: &'a WorkerId,
     pub(crate) error: &'a OrderError,
-    /// Orders to this worker that wait for an answer, this one included.
+    /// Unanswered orders to this worker, including this one.
     pub(crate) under_way: usize,
-    /// Connections to this worker that were opened so far.
+    /// Connections opened to this worker so far.
     pub(crate) connections_opened: u64,
 }
 
@@ -322,7 +322,7 @@
         .emit();
 }
 
-/// Writes what the scheduler noted.
+/// Logs a note of the scheduler.
 pub(crate) fn note(note: &Note) {
     match note {
         Note::RunEnded {
--- a/crates/cell/src/log/workers.rs
+++ b/crates/cell/src/log/workers.rs
@@ -1,11 +1,11 @@
-//! The lines about one worker.
+//! Log events about one worker.
 
 use syc_obs::Line;
 use syc_obs::catalogue;
 use syc_sched::WorkerNote;
 use syc_types::WorkerId;
 
-/// Writes what the scheduler noted of a worker.
+/// Logs a note of the scheduler about a worker.
 pub(super) fn note(worker: &WorkerId, note: &WorkerNote) {
     let line = match note {
         WorkerNote::Belief { belief, silent_ms } => Line::new(catalogue::WORKER_BELIEF)
--- a/crates/cell/src/node.rs
+++ b/crates/cell/src/node.rs
@@ -1,4 +1,4 @@
-//! What every node of a cell has and does.
+//! State and background tasks that every node of a cell has.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -40,63 +40,63 @@
 use crate::submissions::run_admission_timer;
 use crate::unreadable::Unreadable;
 
-/// A planned stop looks this often whether the node is idle.
+/// Interval at which a planned stop checks whether the node is idle.
 const IDLE_POLL_MS: u64 = 50;
 
-/// The scheduler, as a node knows it.
+/// The node that holds the scheduler role.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Holder {
     /// Name of the node.
     pub node: SmolStr,
-    /// Where it takes calls of other nodes, `ip:port`.
+    /// Address on which it accepts calls from other nodes, `ip:port`.
     pub address: SmolStr,
-    /// Names one incarnation of the node's process.
+    /// Identifies one run of the node's process.
     pub incarnation: u64,
-    /// Its fencing token.
+    /// Fencing token of its orders.
     pub token: u64,
 }
 
-/// A wave of upkeep, and when this node read of it.
+/// A wave of VM upkeep, and when this node first read it.
 #[derive(Debug, Clone)]
 pub(crate) struct PublishedWave {
     pub(crate) wave: Wave,
     pub(crate) seen_at: Millis,
 }
 
-/// A node of a cell; it lives on one arbiter.
+/// A node of a cell. All of its tasks run on one arbiter.
 #[derive(Debug)]
 pub struct Node<P>
 where
     P: Platform,
 {
-    /// The platform.
+    /// Access to the store, the workers and the other services of the platform.
     pub platform: P,
-    /// What it was told at its start.
+    /// Settings, fixed when the node starts.
     pub settings: NodeSettings,
-    /// Its metrics.
+    /// Metrics of this node.
     pub metrics: CellMetrics,
-    /// What others wrote and this node can't read.
+    /// Unreadable input that was already logged.
     pub(crate) unreadable: Unreadable,
-    /// Names this incarnation of the process.
+    /// Identifies this run of the process.
     pub(crate) incarnation: u64,
     pub(crate) configuration: RefCell<Option<Rc<Configuration>>>,
-    /// Waves of upkeep that operators have published.
+    /// Waves of VM upkeep that operators have published.
     pub(crate) waves: RefCell<Vec<PublishedWave>>,
     pub(crate) store: StoreHealth,
     pub(crate) holder: RefCell<Option<Holder>>,
     pub(crate) link: RefCell<Option<Rc<HolderLink>>>,
     pub(crate) leader: RefCell<Option<Rc<Leader<P>>>>,
     pub(crate) submissions: SubmissionQueue,
-    /// The partition that this node writes jobs to.
+    /// Partition to which this node appends jobs.
     pub(crate) partition: Cell<u32>,
-    /// Wakes whoever waits for news of the scheduler.
+    /// Notifies that the scheduler changed or is suspected to have failed.
     pub(crate) holder_changed: Notify,
-    /// Whether the holder's process seems to be gone.
+    /// Whether the holder's process is suspected to have ended.
     pub(crate) holder_suspected: Cell<bool>,
     pub(crate) stopping: Cell<bool>,
-    /// No claim before this time, after having given the role up.
+    /// Earliest time for the next claim, set when this node gives up the role.
     pub(crate) claim_not_before: Cell<Millis>,
-    /// The time of day that the scheduler last told.
+    /// Wall-clock time that the scheduler last reported.
     pub(crate) reported_time: Cell<Option<AgreedTime>>,
     pub(crate) unsent_replies: UnsentReplies,
 }
@@ -105,7 +105,7 @@
 where
     P: Platform,
 {
-    /// Starts a node on the current arbiter; `peers` is where it takes calls of other nodes.
+    /// Starts a node on the current arbiter. `peers` accepts calls from other nodes.
     pub fn start(platform: P, settings: NodeSettings, peers: TcpListener) -> Rc<Self> {
         let began = now();
         let node = Rc::new(Self {
@@ -146,16 +146,16 @@
         self.configuration.borrow().clone()
     }
 
-    /// Says whether workers of a service may be used; before there is a configuration, any.
+    /// Returns whether workers of a service may be used. Without a configuration, all may.
     pub(crate) fn names_service(&self, service: &ServiceName) -> bool {
         let configuration = self.configuration();
         configuration.is_none_or(|current| current.names_service(service))
     }
 
-    /// Says whether new connections should come here.
+    /// Returns whether the load balancer should send new connections to this node.
     ///
-    /// A node is ready once it has a configuration and knows a scheduler, as long as it can store
-    /// what is submitted, itself or through the scheduler.
+    /// A node is ready when it has a configuration and can store submitted jobs, either itself or through the
+    /// scheduler's node. A node that is stopping is not ready.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         if self.stopping.get() || self.configuration.borrow().is_none() {
@@ -166,24 +166,24 @@
         self.store_answers() || can_relay
     }
 
-    /// Says whether this node is the scheduler, and has read what its predecessor left.
+    /// Returns whether this node is the scheduler and has loaded the state of its predecessor.
     #[must_use]
     pub fn is_scheduler(&self) -> bool {
         self.leader().is_some_and(|leader| leader.is_loaded())
     }
 
-    /// Returns the scheduler, if this node is it.
+    /// Returns the scheduler if this node holds the role.
     pub(crate) fn leader(&self) -> Option<Rc<Leader<P>>> {
         self.leader.borrow().clone()
     }
 
-    /// Reads this node's clock of the day.
+    /// Reads this node's wall clock.
     pub(crate) fn read_wall_clock(&self) -> DayAnchor {
         let day = self.settings.wall_clock.read();
         DayAnchor { at: now(), day }
     }
 
-    /// Returns the time of day that the scheduler believes in, as far as it is known here.
+    /// Returns the wall-clock time that the nodes agree on, if the scheduler has reported it to this node.
     #[must_use]
     pub fn agreed_time(&self) -> Option<AgreedTime> {
         let leader = self.leader();
@@ -198,7 +198,7 @@
         self.reported_time.set(Some(AgreedTime { anchor, clocks }));
     }
 
-    /// Returns the page of metrics.
+    /// Renders the metrics page.
     #[must_use]
     pub fn metrics_page(&self) -> String {
         let connections = self.platform.connections();
@@ -229,8 +229,8 @@
         self.metrics.page(&readings)
     }
 
-    /// Begins a planned stop: new connections go elsewhere, and the role of scheduler is handed over. Whoever
-    /// submits something is answered by a time, whatever the store does.
+    /// Begins a planned stop: the node reports that it is not ready and hands over the scheduler role. Pending
+    /// submissions are answered by `answer_by`, even if the store does not respond.
     pub async fn begin_stop(self: &Rc<Self>, answer_by: Millis) {
         if self.stopping.replace(true) {
             return;
@@ -242,7 +242,7 @@
         }
     }
 
-    /// Waits until nothing that was accepted is left to be answered, at most `limit_ms`.
+    /// Waits until every accepted submission is answered, for at most `limit_ms`.
     pub async fn finish_stop(&self, limit_ms: u64) {
         let deadline = now().plus(limit_ms);
         while now() < deadline {
@@ -272,7 +272,7 @@
     }
 }
 
-/// Finds out quickly that the store answers again.
+/// Probes the store while it is unavailable, so that its recovery is noticed quickly.
 async fn run_store_probe<P>(node: Rc<Node<P>>)
 where
     P: Platform,
--- a/crates/cell/src/ports.rs
+++ b/crates/cell/src/ports.rs
@@ -1,6 +1,6 @@
-//! What a node needs of the platform that it runs on, in the project's own words.
+//! Interfaces between a node and the platform that it runs on.
 //!
-//! An adapter implements these traits; it translates names and formats and decides nothing.
+//! An adapter implements these traits. It translates names and formats and makes no decisions.
 
 use std::fmt;
 
@@ -23,32 +23,33 @@
 
 use crate::Configuration;
 
-/// No VM has more: a million cores, a petabyte, a million accelerators. Amounts of many VMs are added up.
+/// Largest capacity that a record of a VM may declare: a million cores, a pebibyte, a million accelerators.
+/// Capacities of many VMs are summed, and this bound keeps the sum from overflowing.
 pub const MAX_VM_CAPACITY: Resources = Resources {
     cpu_millis: 1_000_000_000,
     memory_bytes: 1 << 50,
     accelerators: 1_000_000,
 };
 
-/// The topics of the store that a cell uses.
+/// Topics of the store that a cell uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Topic {
-    /// Jobs as they were submitted, and their cancelling; written by every node.
+    /// Submitted jobs and cancellations. Written by every node.
     Jobs,
-    /// Progress of the jobs; written by the scheduler only.
+    /// Progress of jobs and waves, and the worker roster. Written by the scheduler only.
     Progress,
-    /// Who is the scheduler.
+    /// Claims and heartbeats of schedulers.
     Holders,
-    /// Registered workers; read only.
+    /// Registered workers. Read only.
     Workers,
-    /// What operators publish; read only.
+    /// Configuration and upkeep waves that operators publish. Read only.
     Operators,
-    /// What operators are told.
+    /// Status reports to operators.
     Status,
 }
 
 impl Topic {
-    /// Returns the name for logs.
+    /// Returns the topic's name for logs.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -62,17 +63,17 @@
     }
 }
 
-/// A record with a key; the store keeps the newest of each key.
+/// A keyed record. The store keeps the newest record of each key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Record {
-    /// The key.
+    /// Key under which the store compacts records.
     pub key: SmolStr,
-    /// The value; without one, the key is removed.
+    /// Value. An empty value removes the key.
     pub value: Bytes,
 }
 
 impl Record {
-    /// Returns what stands in the place of a record that can't be read: it names nothing and says nothing.
+    /// Returns the empty record that takes the place of one that can't be decoded.
     #[must_use]
     pub const fn placeholder() -> Self {
         Self {
@@ -81,112 +82,113 @@
         }
     }
 
-    /// Returns the bytes of its key and its value.
+    /// Returns the size of key and value in bytes.
     #[must_use]
     pub fn size(&self) -> usize {
         self.key.len() + self.value.len()
     }
 
-    /// Says whether it stands in the place of one that can't be read.
+    /// Returns whether this record takes the place of one that can't be decoded.
     #[must_use]
     pub fn is_placeholder(&self) -> bool {
         self.key.is_empty() && self.value.is_empty()
     }
 }
 
-/// Under which condition an append is carried out.
+/// Precondition of an append.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Condition {
-    /// Under any.
+    /// The append is unconditional.
     None,
-    /// Only if the partition ends at this offset.
+    /// The partition must end at this offset.
     EndsAt(u64),
-    /// Only if no greater epoch of this producer was seen, and once only.
+    /// The store must not have seen a greater epoch of this producer. Each sequence number is appended at
+    /// most once.
     Producer {
-        /// Name of the producer.
+        /// Producer whose epoch is compared.
         name: SmolStr,
-        /// Its epoch: the fencing token.
+        /// Epoch of the producer, which is the scheduler's fencing token.
         epoch: u64,
-        /// Number of the append within the epoch.
+        /// Sequence number of the append within the epoch.
         sequence: u64,
     },
 }
 
-/// Where appended records are.
+/// Position of appended records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Appended {
-    /// Offset of the first of them.
+    /// Offset of the first appended record.
     pub offset: u64,
-    /// End of the partition after them.
+    /// End of the partition after the append.
     pub end: u64,
 }
 
-/// Why an append was not carried out, or not for certain.
+/// Reason why an append failed or has an unknown outcome.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum AppendError {
-    /// It surely was not and never will be.
-    #[error("the store refused: {0}")]
+    /// The store refused the append. It was not and will not be carried out.
+    #[error("the store refused the append: {0}")]
     Refused(SmolStr),
-    /// The partition ends elsewhere.
+    /// The partition does not end at the expected offset.
     #[error("the partition ends at {end}")]
     EndMismatch {
-        /// Where it ends.
+        /// Actual end of the partition.
         end: u64,
     },
-    /// A greater epoch was seen.
-    #[error("a later epoch was seen")]
+    /// The store has seen a greater epoch of the producer.
+    #[error("the store has seen a greater epoch")]
     Fenced,
-    /// The number does not follow the last one.
-    #[error("append {expected} was expected")]
+    /// The sequence number does not follow the last one.
+    #[error("sequence number {expected} was expected")]
     OutOfSequence {
-        /// The number that does.
+        /// Sequence number that the store expects.
         expected: u64,
     },
-    /// It may have been carried out, or may be later.
-    #[error("the store's answer was lost: {0}")]
+    /// The outcome is unknown: the append may have been carried out, or may still be.
+    #[error("the outcome of the append is unknown: {0}")]
     InDoubt(SmolStr),
 }
 
-/// A part of a partition.
+/// Consecutive records of a partition.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Page {
-    /// Offset of the first record.
+    /// Offset of the first record in the page.
     pub first: u64,
-    /// End of the partition.
+    /// End of the partition when the page was read.
     pub end: u64,
-    /// The records.
+    /// Records in the order of their offsets.
     pub records: Vec<Record>,
 }
 
-/// The newest record of each key of a partition.
+/// Newest record of each key of a partition.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Newest {
-    /// The records, with their offsets.
+    /// Records with their offsets.
     pub records: Vec<(u64, Record)>,
-    /// Offset from which to read on: nothing after it is missing from the records.
+    /// Offset at which to continue reading. All records before it are covered by this result.
     pub read_from: u64,
 }
 
-/// Why nothing could be read.
+/// Reason why a read failed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ReadError {
-    /// The records were removed; the newest of each key is still there.
-    #[error("records before offset {first} are gone")]
+    /// The records at this offset were compacted. The newest record of each key is still available.
+    #[error("records before offset {first} were compacted")]
     Gone {
-        /// The oldest offset that can be read.
+        /// Oldest offset that can be read.
         first: u64,
     },
-    /// The store did not answer, or refused.
+    /// The store did not answer or refused the read.
     #[error("the store is not available: {0}")]
     Unavailable(SmolStr),
-    /// The answer is not in the published form.
-    #[error("the store's answer can't be read: {0}")]
+    /// The answer does not match the platform's published format.
+    #[error("malformed answer of the store: {0}")]
     Malformed(SmolStr),
 }
 
 /// The platform's store.
 pub trait Store {
-    /// Appends records, all or none.
+    /// Appends records atomically.
     fn append(
         &self,
         topic: Topic,
@@ -195,7 +197,7 @@
         condition: &Condition,
     ) -> impl Future<Output = Result<Appended, AppendError>>;
 
-    /// Reads from an offset on; waits for a record for at most `wait_ms`.
+    /// Reads records starting at an offset. If there are none, waits for one for at most `wait_ms`.
     fn read(
         &self,
         topic: Topic,
@@ -204,7 +206,7 @@
         wait_ms: u64,
     ) -> impl Future<Output = Result<Page, ReadError>>;
 
-    /// Reads the newest record of each key.
+    /// Reads the newest record of each key in a partition.
     fn newest(
         &self,
         topic: Topic,
@@ -212,82 +214,82 @@
     ) -> impl Future<Output = Result<Newest, ReadError>>;
 }
 
-/// Where a worker takes orders, and which incarnation of it is meant.
+/// Address at which one incarnation of a worker accepts orders.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkerAddress {
-    /// Names one incarnation of the worker.
+    /// Identifies the worker's incarnation.
     pub id: WorkerId,
-    /// `ip:port`.
+    /// Address in the form `ip:port`.
     pub address: SmolStr,
 }
 
-/// An order to start a run.
+/// Order to start a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StartCommand {
-    /// The task.
+    /// Task of the run.
     pub task: TaskId,
-    /// Which start of it.
+    /// Number of the run, counted for each task.
     pub run: Run,
-    /// The job's payload.
+    /// Payload of the job.
     pub payload: SmolStr,
-    /// Until when the lease lasts, on the worker's clock.
+    /// End of the run's lease, on the worker's clock.
     pub lease_until_ms: u64,
-    /// Fencing token of the scheduler.
+    /// Fencing token of the scheduler that sends the order.
     pub token: u64,
-    /// Proof that the worker may run it; empty where none is needed.
+    /// Ticket of the advice service that permits the run on this worker. Empty if none is needed.
     pub ticket: SmolStr,
-    /// Where it goes on from; empty to begin.
+    /// Checkpoint from which the run resumes. Empty to start from the beginning.
     pub checkpoint: SmolStr,
 }
 
-/// An order to end a run.
+/// Order to stop a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StopCommand {
-    /// The task.
+    /// Task of the run.
     pub task: TaskId,
-    /// Which start of it.
+    /// Number of the run, counted for each task.
     pub run: Run,
-    /// Fencing token of the scheduler.
+    /// Fencing token of the scheduler that sends the order.
     pub token: u64,
 }
 
-/// An order to work at a share of its speed.
+/// Order to limit the speed of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PaceCommand {
-    /// The task.
+    /// Task of the run.
     pub task: TaskId,
-    /// Which start of it.
+    /// Number of the run, counted for each task.
     pub run: Run,
-    /// The share, 0 to 100.
+    /// Allowed share of full speed, 0 to 100.
     pub percent: u8,
-    /// Fencing token of the scheduler.
+    /// Fencing token of the scheduler that sends the order.
     pub token: u64,
 }
 
-/// Renews the leases of all runs on a worker, and asks for its lists.
+/// Renews the leases of all runs on a worker and polls its report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Renewal {
-    /// Until when the leases last, on the worker's clock; none to leave them as they are.
+    /// New end of the leases, on the worker's clock. `None` leaves them unchanged.
     pub lease_until_ms: Option<u64>,
-    /// Ends up to this number are kept and may be forgotten.
+    /// Reported ends up to this number are stored, so the worker may drop them.
     pub acknowledged: u64,
-    /// The worker may wait this long for an end before it answers.
+    /// Longest time that the worker may wait for a run to end before it answers.
     pub wait_ms: u64,
-    /// Fencing token of the scheduler.
+    /// Fencing token of the scheduler that sends the order.
     pub token: u64,
 }
 
-/// Parts of an answer that can't be read, and are left out.
+/// Parts of an answer that could not be decoded and were skipped.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Skipped {
-    /// How many.
+    /// Number of skipped parts.
     pub parts: u64,
-    /// What is wrong with the first; empty where there is none.
+    /// Reason why the first part was skipped. Empty if there is none.
     pub reason: SmolStr,
 }
 
 impl Skipped {
-    /// Takes note of one more.
+    /// Counts one more skipped part.
     pub fn note<T>(&mut self, reason: T)
     where
         T: fmt::Display,
@@ -298,7 +300,7 @@
         self.parts += 1;
     }
 
-    /// Takes note of those of another part of the answer.
+    /// Adds the parts that were skipped elsewhere in the same answer.
     pub fn add(&mut self, other: Self) {
         if self.parts == 0 {
             self.reason = other.reason;
@@ -307,59 +309,59 @@
     }
 }
 
-/// What a worker answers to a renewal.
+/// Answer of a worker to a renewal.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Renewed {
-    /// The worker's clock.
+    /// Reading of the worker's clock.
     pub clock_ms: u64,
-    /// When the life of the worker began that answered, in milliseconds since 1970, where that is told.
+    /// Start time of the worker's process in milliseconds since 1970, if the worker reports it.
     pub born_ms: Option<u64>,
-    /// What it lists.
+    /// Runs and ends that the worker reports.
     pub report: WorkerReport,
-    /// What of it can't be read.
+    /// Parts of the report that were skipped.
     pub skipped: Skipped,
-    /// Number of the latest end among that; 0 where there is none.
+    /// Number of the latest end among the skipped parts, or 0.
     pub skipped_end: u64,
 }
 
-/// Why a worker did not do as it was told.
+/// Reason why an order to a worker failed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum OrderError {
-    /// Another incarnation of the worker answers at its address.
-    #[error("another incarnation of the worker is at its address")]
+    /// Another worker incarnation answers at this address.
+    #[error("another worker incarnation answers at this address")]
     Replaced,
-    /// A later life of the worker answers under its name.
-    #[error("a later life of the worker answers under its name")]
+    /// The worker has restarted under the same name.
+    #[error("the worker has restarted under the same name")]
     Reborn,
     /// The worker has seen a greater fencing token.
     #[error("the worker has seen a greater fencing token")]
     Fenced,
-    /// It refused, and did nothing.
-    #[error("the worker refused: {}", .0.as_str())]
+    /// The worker refused the order and did nothing.
+    #[error("the worker refused the order: {}", .0.as_str())]
     Refused(StartRefusal),
-    /// It surely did not and never will: the order has not left this node.
+    /// The order never left this node, so it was not and will not be carried out.
     #[error("the order was not sent: {0}")]
     NotSent(SmolStr),
-    /// The same, as no connection to it was free and no other may be opened now.
+    /// The order never left this node: no connection to the worker was free, and no other may be opened now.
     #[error("the order was not sent: {0}")]
     NoConnection(SmolStr),
-    /// It may have done it, now or later.
-    #[error("the worker's answer was lost: {0}")]
+    /// The outcome is unknown: the order may have been carried out, or may still be.
+    #[error("the outcome of the order is unknown: {0}")]
     InDoubt(SmolStr),
 }
 
-/// Connections to workers, counted.
+/// Counts of connections to workers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ConnectionCounts {
-    /// Those that were opened.
+    /// Connections that were opened.
     pub opened: u64,
-    /// Those that were not, as too many were opened to their worker lately.
+    /// Connections that were not opened because too many were opened to the same worker recently.
     pub withheld: u64,
 }
 
-/// The workers' task interface.
+/// Task interface of the workers.
 pub trait WorkerPort {
-    /// Starts a run.
+    /// Starts a run on a worker.
     fn start(
         &self,
         worker: &WorkerAddress,
@@ -367,7 +369,7 @@
         timeout_ms: u64,
     ) -> impl Future<Output = Result<(), OrderError>>;
 
-    /// Ends a run.
+    /// Stops a run on a worker.
     fn stop(
         &self,
         worker: &WorkerAddress,
@@ -375,7 +377,7 @@
         timeout_ms: u64,
     ) -> impl Future<Output = Result<(), OrderError>>;
 
-    /// Lets a run work at a share of its speed.
+    /// Limits the speed of a run.
     fn pace(
         &self,
         worker: &WorkerAddress,
@@ -383,7 +385,7 @@
         timeout_ms: u64,
     ) -> impl Future<Output = Result<(), OrderError>>;
 
-    /// Renews leases.
+    /// Renews the leases on a worker and returns its report.
     fn renew(
         &self,
         worker: &WorkerAddress,
@@ -391,39 +393,40 @@
         timeout_ms: u64,
     ) -> impl Future<Output = Result<Renewed, OrderError>>;
 
-    /// Returns what became of connections to workers so far.
+    /// Returns the counts of connections to all workers.
     fn connections(&self) -> ConnectionCounts {
         ConnectionCounts::default()
     }
 
-    /// Returns how many connections to one worker were opened so far.
+    /// Returns the number of connections opened to one worker.
     fn connections_opened_to(&self, _worker: &WorkerAddress) -> u64 {
         0
     }
 
-    /// Closes the idle connections to workers: a node that gives no more orders keeps none of what they take.
+    /// Closes idle connections to workers. A node that sends no more orders should not occupy their connection
+    /// slots.
     fn close_connections(&self) {}
 }
 
-/// The workers of those asked about that may run a step.
+/// Workers that the advice service allows to run a step.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Advice {
-    /// Each with its ticket.
+    /// Allowed workers, each with its ticket.
     pub allowed: Vec<(WorkerId, SmolStr)>,
-    /// Time for which the tickets are valid.
+    /// Validity of the tickets.
     pub validity_ms: u64,
-    /// What of the answer can't be read.
+    /// Parts of the answer that were skipped.
     pub skipped: Skipped,
 }
 
-/// Why no advice was given.
+/// Reason why the advice service gave no answer.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("no advice: {0}")]
 pub struct AdviceError(pub SmolStr);
 
-/// The service that knows which workers may run a step.
+/// The advice service, which decides which workers may run a step.
 pub trait AdvicePort {
-    /// Asks about workers; the service serves one call at a time for each calling VM.
+    /// Asks which of the workers may run a step. The service handles one call at a time per calling VM.
     fn advise(
         &self,
         step: StepId,
@@ -432,62 +435,62 @@
     ) -> impl Future<Output = Result<Advice, AdviceError>>;
 }
 
-/// A part of the list of VMs.
+/// One page of the list of VMs.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct VmPage {
-    /// The VMs.
+    /// VMs of this page.
     pub vms: Vec<VmInfo>,
-    /// Where the next part begins, if there is one.
+    /// Token of the next page, if there is one.
     pub next: Option<SmolStr>,
-    /// What of the answer can't be read.
+    /// Parts of the answer that were skipped.
     pub skipped: Skipped,
 }
 
-/// Why the VMs could not be listed.
+/// Reason why the VMs could not be listed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("the VMs can't be listed: {0}")]
+#[error("failed to list VMs: {0}")]
 pub struct ListVmsError(pub SmolStr);
 
-/// An order about a VM.
+/// Order to act on a VM.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VmCommand {
-    /// The VM.
+    /// VM to act on.
     pub vm: VmId,
-    /// What to do with it.
+    /// Action to perform.
     pub duty: Duty,
-    /// The node that orders it.
+    /// Node that sends the order.
     pub holder: SmolStr,
-    /// Fencing token of the scheduler.
+    /// Fencing token of the scheduler that sends the order.
     pub token: u64,
 }
 
-/// What an order about a VM came to, where nothing is wrong with the one who gave it.
+/// Reason why an order to a VM was not confirmed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum VmOrderError {
-    /// A greater fencing token was used for this VM.
-    #[error("a greater fencing token was used for the VM")]
+    /// The platform has seen a greater fencing token for this VM.
+    #[error("the platform has seen a greater fencing token for the VM")]
     Fenced,
-    /// The VM is not up, or leaves.
-    #[error("the VM is not up, or leaves")]
+    /// The VM is not running or is being removed.
+    #[error("the VM is not running or is being removed")]
     Busy,
-    /// It is not one of the wave, or can't be in the pool, or there is no such VM.
-    #[error("the VM does not fit: {0}")]
+    /// The VM does not exist, is not part of the wave or can't be in the pool.
+    #[error("the order does not apply to the VM: {0}")]
     Unfit(SmolStr),
-    /// It may be done, now or later.
-    #[error("the answer was lost: {0}")]
+    /// The outcome is unknown: the order may have been carried out, or may still be.
+    #[error("the outcome of the order is unknown: {0}")]
     InDoubt(SmolStr),
 }
 
-/// The platform's VMs.
+/// VM management of the platform.
 pub trait VmPort {
-    /// Lists a part of the VMs.
+    /// Lists one page of VMs.
     fn list_vms(
         &self,
         from: Option<&str>,
         timeout_ms: u64,
     ) -> impl Future<Output = Result<VmPage, ListVmsError>>;
 
-    /// Does something with a VM; it is also done if it was done before.
+    /// Performs an action on a VM. Repeating an order that was carried out succeeds.
     fn order_vm(
         &self,
         command: &VmCommand,
@@ -495,43 +498,43 @@
     ) -> impl Future<Output = Result<(), VmOrderError>>;
 }
 
-/// What operators publish.
+/// Record that operators publish.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Published {
-    /// The configuration.
+    /// Configuration of the cell.
     Configuration(Configuration),
-    /// VMs that are to have their upkeep.
+    /// Wave of VMs that are due for upkeep.
     Wave(Wave),
-    /// Something that is of no interest here.
+    /// Record of a kind that nodes ignore.
     Other,
 }
 
-/// Why a record of the platform can't be read.
+/// Reason why a record of the platform can't be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{0}")]
 pub struct FormatError(pub String);
 
-/// The platform's own records.
+/// Formats of the platform's own records.
 pub trait RecordFormats {
-    /// Reads the record of a registered worker.
+    /// Decodes the record of a registered worker.
     ///
     /// # Errors
     ///
-    /// Fails where the record is not in the published form.
+    /// Fails if the record does not match the platform's published format.
     fn worker(&self, key: &str, value: &[u8]) -> Result<WorkerSpec, FormatError>;
 
-    /// Reads a record of the operators.
+    /// Decodes a record of the operators.
     ///
     /// # Errors
     ///
-    /// Fails where the record is not in the published form.
+    /// Fails if the record does not match the platform's published format.
     fn published(&self, key: &str, value: &[u8]) -> Result<Published, FormatError>;
 
-    /// Makes the record that tells operators how far a wave is.
+    /// Creates the record that reports the status of a wave to operators.
     fn wave_status(&self, wave: u64, completed: bool) -> Record;
 }
 
-/// Everything that a node needs of its platform.
+/// All interfaces that a node needs from its platform.
 pub trait Platform: Store + WorkerPort + AdvicePort + VmPort + RecordFormats + 'static {}
 
 impl<P> Platform for P where P: Store + WorkerPort + AdvicePort + VmPort + RecordFormats + 'static {}
--- a/crates/cell/src/queries.rs
+++ b/crates/cell/src/queries.rs
@@ -1,4 +1,4 @@
-//! Questions of callers that only the scheduler can answer.
+//! Queries of callers that only the scheduler can answer.
 
 use std::rc::Rc;
 
@@ -16,20 +16,20 @@
 use crate::clock::pause;
 use crate::ports::Platform;
 
-/// A question is asked again this often while the scheduler changes.
+/// Interval between attempts while the scheduler is changing.
 const RETRY_MS: u64 = 100;
 
-/// A question is given up after this time: the caller asks again within its own timeout.
+/// Timeout of a query. The caller can still retry within its own timeout.
 const QUERY_TIMEOUT_MS: u64 = 1_500;
 
-/// What is known of a job.
+/// Answer to a query for the state of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StateAnswer {
-    /// It is in this state.
+    /// The job is in this state.
     Known(JobState),
-    /// There is no such job.
+    /// The job does not exist.
     NoSuchJob,
-    /// Nobody can tell now.
+    /// No node can answer at the moment.
     Unsure,
 }
 
@@ -61,12 +61,12 @@
     }
 }
 
-/// What is known of a queue.
+/// Answer to a query for the pending jobs of a queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PendingAnswer {
-    /// So many of its jobs have not begun.
+    /// Number of jobs of the queue that have not started.
     Known(u64),
-    /// Nobody can tell now.
+    /// No node can answer at the moment.
     Unsure,
 }
 
@@ -74,7 +74,7 @@
 where
     P: Platform,
 {
-    /// Tells the state of a job.
+    /// Returns the state of a job.
     pub async fn state(self: &Rc<Self>, id: JobId) -> StateAnswer {
         let deadline = now().plus(QUERY_TIMEOUT_MS);
         loop {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Tells how many jobs of a queue have not begun.
+    /// Returns how many jobs of a queue have not started.
     pub async fn pending(self: &Rc<Self>, queue: &str) -> PendingAnswer {
         let deadline = now().plus(QUERY_TIMEOUT_MS);
         loop {
@@ -125,12 +125,12 @@
     async fn query_scheduler(&self, query: CellBody) -> Option<CellBody> {
         let link = self.link.borrow().clone()?;
         let timeout_ms = self.settings.timing.peer_timeout_ms;
-        // Without an answer the question is asked again, or the caller hears that nobody can tell.
+        // A failed call is retried until the query times out; then the answer is `Unsure`.
         link.call(query, timeout_ms).await.ok()
     }
 }
 
-/// Answers another node about a job.
+/// Answers another node's query for the state of a job.
 pub(crate) fn answer_state<P>(node: &Rc<Node<P>>, query: &StateQueryCell) -> CellBody
 where
     P: Platform,
@@ -142,7 +142,7 @@
     CellBody::StateReply(reply)
 }
 
-/// Answers another node about a queue.
+/// Answers another node's query for the pending jobs of a queue.
 pub(crate) fn answer_pending<P>(node: &Rc<Node<P>>, query: &PendingQuery) -> CellBody
 where
     P: Platform,
--- a/crates/cell/src/records.rs
+++ b/crates/cell/src/records.rs
@@ -1,4 +1,4 @@
-//! The records that a cell keeps in the store, in JSON so that operators can read them.
+//! Records that a cell keeps in the store. They are JSON so that operators can read them.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -19,83 +19,84 @@
 use crate::ports::Record;
 use crate::unreadable::UNREADABLE_KEY;
 
-/// What follows a job's identity in the key of the record that cancels it.
+/// Suffix after the job ID in the key of a cancellation record.
 const CANCEL_SUFFIX: &str = "/cancel";
 
-/// Key of the record that says who is the scheduler.
+/// Key of claims and heartbeats.
 pub const HOLDER_KEY: &str = "holder";
 
-/// What the keys of the records begin with that name the workers that may run something.
+/// Prefix of the keys of roster records.
 const ROSTER_PREFIX: &str = "workers/";
 
-/// What the keys of the records begin with that say how far a wave of upkeep is.
+/// Prefix of the keys of records with the progress of an upkeep wave.
 const WAVE_PREFIX: &str = "waves/";
 
-/// Most workers that one record names: some fifty kilobytes, well within what the store takes.
+/// Most workers in one roster record: about 50 kB, well below the store's size limit.
 const WORKERS_PER_RECORD: usize = 200;
 
-/// Longest time that a step of a job may declare: a day, as callers are read.
+/// Longest estimate of a step: a day, the same limit as for submitted jobs.
 const STEP_LIMIT_MS: u64 = 86_400_000;
 
-/// Longest time that a call for advice, or a worker named in it, may take: a day.
+/// Longest expected time of an advice call, and of each worker in it: a day.
 const ADVICE_LIMIT_MS: f64 = 86_400_000.0;
 
-/// What the topic of jobs holds.
+/// Decoded record of the jobs topic.
 #[derive(Debug, Clone, PartialEq)]
 pub enum JobRecord {
-    /// A job was accepted.
+    /// A job was submitted.
     Submitted(Box<JobSpec>),
     /// A job was cancelled.
     Cancelled(JobId),
-    /// A record was removed.
+    /// The record was removed.
     Removed,
-    /// The record can't be read.
+    /// The record can't be decoded or is invalid.
     Unreadable {
-        /// Its key.
+        /// Key of the record.
         key: SmolStr,
-        /// Why.
+        /// Reason why it can't be used.
         reason: String,
     },
 }
 
-/// Says who is the scheduler.
+/// Claim, heartbeat or release of the scheduler role.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HolderRecord {
     /// Name of the node.
     pub node: SmolStr,
-    /// Where it takes calls of other nodes, `ip:port`.
+    /// Address on which the node accepts calls from other nodes, `ip:port`.
     pub address: SmolStr,
-    /// Names one incarnation of the node's process.
+    /// Identifies one run of the node's process.
     pub incarnation: u64,
-    /// The fencing token that the holder acts with; 0 in a claim, whose own offset makes it.
+    /// Fencing token of the holder. 0 in a claim, whose token is derived from its offset.
     pub token: u64,
-    /// Whether the holder gives the role up.
+    /// Whether the holder releases the role.
     #[serde(default)]
     pub released: bool,
-    /// Whether the holder starts jobs only once the store has taken something after it learned of them.
+    /// Whether the holder starts a job only after the store has accepted an append that was sent after the holder
+    /// learned of the job.
     #[serde(default)]
     pub proves: bool,
 }
 
-/// Names the workers that may run something of a scheduler.
+/// Workers that may run tasks of a scheduler.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RosterRecord {
-    /// The fencing token of the scheduler.
+    /// Fencing token of the scheduler.
     pub token: u64,
-    /// Number of the change since the scheduler began.
+    /// Number of the change, counted since the scheduler took over.
     pub change: u64,
-    /// The workers.
+    /// Workers in this part of the roster.
     pub workers: Vec<WorkerSpec>,
 }
 
 impl RosterRecord {
-    /// Of two rosters, the one with the greater version counts.
+    /// Returns the version of the roster. The roster with the greatest version is in force.
     const fn version(&self) -> (u64, u64) {
         (self.token, self.change)
     }
 }
 
-/// Makes the record of an accepted job.
+/// Creates the record of a submitted job.
 #[must_use]
 pub fn submitted(spec: &JobSpec) -> Record {
     Record {
@@ -104,7 +105,7 @@
     }
 }
 
-/// Makes the record that cancels a job.
+/// Creates the record that cancels a job.
 #[must_use]
 pub fn cancelled(id: JobId) -> Record {
     Record {
@@ -113,7 +114,7 @@
     }
 }
 
-/// Makes the records that remove what was submitted of a job.
+/// Creates the records that remove a submitted job and its cancellation.
 #[must_use]
 pub fn job_tombstones(id: JobId) -> [Record; 2] {
     let key = SmolStr::from(id);
@@ -123,7 +124,7 @@
     })
 }
 
-/// Makes the record of a job's progress.
+/// Creates the record of a job's progress.
 #[must_use]
 pub fn progress(id: JobId, progress: &JobProgress) -> Record {
     Record {
@@ -132,7 +133,7 @@
     }
 }
 
-/// Makes the record that removes a job's progress.
+/// Creates the record that removes a job's progress.
 #[must_use]
 pub fn progress_tombstone(id: JobId) -> Record {
     Record {
@@ -141,7 +142,7 @@
     }
 }
 
-/// Makes the record of a holder.
+/// Creates a claim, heartbeat or release.
 #[must_use]
 pub fn holder(holder: &HolderRecord) -> Record {
     Record {
@@ -150,7 +151,7 @@
     }
 }
 
-/// Makes the records of a roster; they count only together.
+/// Creates the records of a roster. The roster is complete only with all of them.
 #[must_use]
 pub fn roster(roster: &RosterRecord) -> Vec<Record> {
     let parts = roster.workers.chunks(WORKERS_PER_RECORD);
@@ -175,18 +176,18 @@
     }
 }
 
-/// Says how far a wave of upkeep is.
+/// Progress of an upkeep wave.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WaveRecord {
-    /// The fencing token of the scheduler.
+    /// Fencing token of the scheduler.
     pub token: u64,
-    /// Number of the change since the scheduler began.
+    /// Number of the change, counted since the scheduler took over.
     pub change: u64,
-    /// How far it is.
+    /// Progress of the wave.
     pub progress: WaveProgress,
 }
 
-/// Makes the record of how far a wave is.
+/// Creates the record of a wave's progress.
 #[must_use]
 pub fn wave(token: u64, change: u64, progress: &WaveProgress) -> Record {
     let number = progress.number;
@@ -201,7 +202,7 @@
     }
 }
 
-/// Reads how far each wave is, by its latest record, and what can't be read.
+/// Decodes the latest progress of each wave. Also returns the keys and errors of unreadable records.
 #[must_use]
 pub fn read_waves<'a, I>(records: I) -> (Vec<WaveProgress>, Vec<(SmolStr, serde_json::Error)>)
 where
@@ -229,19 +230,19 @@
     (waves.collect(), unreadable)
 }
 
-/// Says whether a record of the topic of progress is that of a job.
+/// Returns whether a record of the progress topic belongs to a job.
 #[must_use]
 pub fn is_job_progress(record: &Record) -> bool {
     !is_roster(record) && !record.key.starts_with(WAVE_PREFIX)
 }
 
-/// Says whether a record is part of a roster.
+/// Returns whether a record is part of a roster.
 #[must_use]
 pub fn is_roster(record: &Record) -> bool {
     record.key.starts_with(ROSTER_PREFIX)
 }
 
-/// Reads the workers of the latest roster, and what of any roster can't be read.
+/// Decodes the workers of the latest roster. Also returns the keys and errors of unreadable records of any roster.
 #[must_use]
 pub fn read_roster<'a, I>(records: I) -> (Vec<WorkerSpec>, Vec<(SmolStr, serde_json::Error)>)
 where
@@ -275,10 +276,12 @@
     if workers.all(|worker| worker.capacity.fits_in(&MAX_VM_CAPACITY)) {
         return Ok(read);
     }
-    Err(serde_json::Error::custom("more than any VM has"))
+    Err(serde_json::Error::custom(
+        "the capacity of a worker exceeds the limit for one VM",
+    ))
 }
 
-/// Reads a record of the topic of jobs.
+/// Decodes and validates a record of the jobs topic.
 #[must_use]
 pub fn read_job(record: &Record) -> JobRecord {
     if record.is_placeholder() {
@@ -305,7 +308,7 @@
         Err(error) => return unreadable(error.to_string()),
     };
     if SmolStr::from(spec.id) != record.key {
-        return unreadable(format!("it is that of {}", spec.id));
+        return unreadable(format!("the value is that of job {}", spec.id));
     }
     match find_invalid(&spec) {
         Some(finding) => unreadable(finding),
@@ -313,36 +316,36 @@
     }
 }
 
-/// Says what the scheduler could not bear of a job: each node checks what it stores, but another version
-/// may check something else.
+/// Returns why the scheduler can't process a job, if it can't. Nodes validate jobs before storing them, but a node
+/// of another version may apply other rules.
 fn find_invalid(spec: &JobSpec) -> Option<String> {
     if let Some(finding) = spec.findings().first() {
         return Some(finding.text.to_owned());
     }
     let mut times_ms = spec.steps.iter().map(|step| step.estimate_ms);
     if times_ms.any(|time_ms| time_ms > STEP_LIMIT_MS) {
-        return Some("a step takes longer than any may".to_owned());
+        return Some("the estimate of a step exceeds one day".to_owned());
     }
     let advice = spec.policy.advice?;
     let is_time = |time_ms: f64| (0.0..=ADVICE_LIMIT_MS).contains(&time_ms);
     let sound = is_time(advice.decision_ms) && is_time(advice.per_worker_ms);
-    (!sound).then(|| "advice takes longer than any may".to_owned())
+    (!sound).then(|| "the expected time of an advice call exceeds one day".to_owned())
 }
 
-/// What is wrong with a record of progress.
+/// Reason why a progress record can't be decoded.
 #[derive(Debug)]
 pub struct ProgressError {
-    /// The job, where its key says which.
+    /// Job named by the key, if the key is valid.
     pub job: Option<JobId>,
-    /// Why it can't be read.
+    /// Description of the error.
     pub reason: String,
 }
 
-/// Reads the record of a job's progress.
+/// Decodes the record of a job's progress.
 ///
 /// # Errors
 ///
-/// Fails where the key names no job, or the value is not in the form that is written.
+/// Fails if the key is not a job ID or the value can't be decoded.
 pub fn read_progress(record: &Record) -> Result<(JobId, JobProgress), ProgressError> {
     let fault = |job, reason| ProgressError { job, reason };
     let id: JobId = match record.key.parse() {
@@ -363,6 +366,6 @@
 where
     T: Serialize,
 {
-    // The records are plain structures with text keys, which always have a JSON form.
+    // Serialization can't fail: the records are plain structures with string keys.
     serde_json::to_vec(value).map_or_else(|_never| Bytes::new(), Bytes::from)
 }
--- a/crates/cell/src/settings.rs
+++ b/crates/cell/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a node is told at its start, and the times that it works by.
+//! Settings of a node and its intervals and timeouts.
 
 use std::net::SocketAddr;
 
@@ -6,105 +6,105 @@
 
 use crate::WallClock;
 
-/// A link that carries this much, in megabits a second, brings a scheduler what it reads at its start,
-/// some megabytes, within the time that others wait for a sign of it.
+/// Bandwidth, in megabits per second, at which a new scheduler reads its predecessor's state (a few megabytes)
+/// before other nodes suspect it to have failed.
 const FAST_LINK_MBPS: f64 = 100.0;
 
-/// Partitions of jobs, at least: one for each of so many nodes. A scheduler reads them all.
+/// Minimum number of jobs partitions, so that up to this many nodes each have their own. The scheduler reads all of
+/// them.
 const MIN_JOB_PARTITIONS: u32 = 32;
 
-/// Each partition of jobs is read at least this often: a state is told only while each was read in the
-/// last two and a half seconds.
+/// Longest interval between reads of a jobs partition. The scheduler reports unknown jobs as missing only while
+/// every partition was read within the last 2.5 seconds.
 const JOBS_INTERVAL_MAX_MS: u64 = 1_600;
 
-/// What a node is told at its start.
+/// Settings of a node, fixed when it starts.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NodeSettings {
-    /// Its name.
+    /// Name of the node.
     pub name: SmolStr,
-    /// Where it takes calls of other nodes.
+    /// Address on which it accepts calls from other nodes.
     pub peer_address: SocketAddr,
-    /// Longest lease that workers grant.
+    /// Longest lease that workers accept.
     pub lease_limit_ms: u64,
-    /// Time that a stop takes at most on a worker.
+    /// Longest time that a worker needs to stop a run.
     pub stop_limit_ms: u64,
-    /// Time for which a job's state can be asked after it has ended.
+    /// How long the state of an ended job can be queried.
     pub status_ms: u64,
-    /// Partitions that a topic of the store has.
+    /// Number of partitions of a store topic.
     pub partitions: u32,
-    /// What its link carries, in megabits a second.
+    /// Bandwidth of the node's link in megabits per second.
     pub link_mbps: f64,
-    /// Time from one heartbeat of a worker to the next.
+    /// Interval between heartbeats of a worker.
     pub worker_heartbeat_ms: u64,
-    /// Time that the upkeep of a VM takes.
+    /// Duration of the upkeep of a VM.
     pub upkeep_ms: u64,
-    /// A new scheduler gives no orders about VMs for this long: those of its predecessor are old then.
+    /// How long a new scheduler waits before it sends orders to VMs, so that its predecessor's orders have expired.
     pub vm_order_pause_ms: u64,
-    /// Where it reads the time of day.
+    /// Source of the wall-clock time.
     pub wall_clock: WallClock,
-    /// Times that it works by.
+    /// Intervals and timeouts.
     pub timing: Timing,
 }
 
-/// Times that a node works by.
+/// Intervals and timeouts of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timing {
-    /// Lease of a run from its latest renewal: long enough to outlast a change of the scheduler,
-    /// short enough that work of a dead worker is not late for its objective.
+    /// Lease of a run from its latest renewal. It must outlast a change of the scheduler, and be short enough that
+    /// the tasks of a failed worker can be restarted within their objective.
     pub lease_ms: u64,
-    /// The scheduler tells the store this often that it is there.
+    /// Interval between the scheduler's heartbeats in the store.
     pub heartbeat_interval_ms: u64,
-    /// A scheduler that has not told the store for this long is replaced; four heartbeats and the
-    /// store's slowest sound answer.
+    /// A scheduler without a heartbeat in the store for this long is replaced. This covers four heartbeats and the
+    /// slowest answer of a healthy store.
     pub heartbeat_timeout_ms: u64,
-    /// The same where it does not answer other nodes either: one heartbeat may still be under way.
+    /// Heartbeat timeout of a scheduler that does not answer other nodes either. One heartbeat may still be in
+    /// flight.
     pub suspected_heartbeat_timeout_ms: u64,
-    /// Nodes that see the same wait up to this long, each another time, so that one claims first.
+    /// Upper bound of the jitter that each node adds to its election timeout, so that one claims first.
     pub claim_jitter_ms: u64,
-    /// A node with a thin link waits this much longer before it claims: several times what others
-    /// need to claim and be seen.
+    /// Additional election timeout of a node with a slow link. It is several times what another node needs to claim
+    /// the role and have its claim read.
     pub slow_link_claim_delay_ms: u64,
-    /// Nodes call the scheduler this often.
+    /// Interval between a node's contacts to the scheduler.
     pub contact_interval_ms: u64,
-    /// A scheduler that does not answer such a call within this time is missed once.
+    /// A contact that is not answered within this time counts as missed.
     pub contact_timeout_ms: u64,
-    /// While the store does not answer, it is asked this often whether it does again.
+    /// Interval between probes of an unavailable store.
     pub probe_interval_ms: u64,
-    /// Such a question is given up after this time: above the slowest sound answer, below the time
-    /// that a caller waits.
+    /// Timeout of a probe. It is above the slowest answer of a healthy store and below the time that a caller waits.
     pub probe_timeout_ms: u64,
-    /// Time that the scheduler has for an answer to another node.
+    /// Timeout of a node's query to the scheduler.
     pub peer_timeout_ms: u64,
-    /// A call to the store without an answer is given up after this time: above the answers of a slow
-    /// store.
+    /// Timeout of a call to the store. It is above the answer time of a slow store.
     pub store_timeout_ms: u64,
-    /// A read of a whole partition is given up after this time: enough for a thin link.
+    /// Timeout of a read of a full partition. It is long enough for a slow link.
     pub full_read_timeout_ms: u64,
-    /// A takeover reads a partition once more, beside the read under way, after this time without an
-    /// answer, and again after half as long again each time: what is sent to a store that is silent is
-    /// never answered, though the store is back.
+    /// A takeover repeats the read of a partition after this time without an answer, concurrently with the earlier
+    /// read, and increases the interval by half each time. Calls sent during a store outage are never answered, even
+    /// after the store has recovered.
     pub full_read_hedge_ms: u64,
-    /// Whoever submits something is answered by this time, or sooner where it waits less.
+    /// Longest time until a submission is answered. A caller's own shorter timeout takes precedence.
     pub submit_timeout_ms: u64,
-    /// Reads that look for jobs in the store are this far apart, all partitions together. Nodes tell of
-    /// what they stored at once, so that this finds only what they could not tell; each read is paid for.
+    /// Interval between reads of the jobs topic, over all partitions. Nodes notify the scheduler of stored jobs at
+    /// once, so reads only find jobs whose notice was lost, and each read has a cost.
     pub jobs_read_spacing_ms: u64,
-    /// Appends of progress are at least this far apart, so that more ends share one.
+    /// Shortest interval between appends of progress, so that one append covers several ended runs.
     pub progress_spacing_ms: u64,
-    /// The list of workers is read this often: a worker that drains may get nothing new after two
-    /// seconds, and most records only say that a worker is still there.
+    /// Interval between reads of the workers topic. A draining worker must get no new work after two seconds, and
+    /// most records are only heartbeats.
     pub workers_interval_ms: u64,
-    /// A worker waits this long for an end before it answers a renewal.
+    /// How long a worker waits for a run to end before it answers a renewal.
     pub renewal_wait_ms: u64,
-    /// Time beyond that wait within which a sound worker answers.
+    /// Additional time within which a healthy worker answers a renewal.
     pub renewal_slack_ms: u64,
-    /// A start or stop order without an answer is sent again after this time.
+    /// Timeout after which an unanswered start or stop order is sent again.
     pub order_timeout_ms: u64,
-    /// What time alone changes is looked at this often.
+    /// Interval of periodic checks.
     pub tick_interval_ms: u64,
-    /// A refused caller is told to come back after this time.
+    /// Time after which a refused caller is asked to retry.
     pub retry_after_ms: u64,
-    /// A planned stop waits this long for the balancer to notice.
+    /// How long a planned stop waits for the load balancer to notice it.
     pub stop_notice_ms: u64,
 }
 
@@ -140,16 +140,16 @@
 }
 
 impl NodeSettings {
-    /// Returns the lease that is set, which is within what workers grant.
+    /// Returns the lease of a run, limited to what workers accept.
     #[must_use]
     pub fn lease_ms(&self) -> u64 {
         self.timing.lease_ms.min(self.lease_limit_ms)
     }
 
-    /// Returns the time that the node leaves others to claim first.
+    /// Returns the delay that lets nodes with faster links claim first.
     ///
-    /// A scheduler reads all that its predecessor left. Over a thin link it cannot be reached meanwhile,
-    /// and would be taken to be gone.
+    /// A new scheduler reads the state of its predecessor. This saturates a slow link, so that other nodes can't reach
+    /// the scheduler and suspect it to have failed.
     #[must_use]
     pub fn claim_delay_ms(&self) -> u64 {
         if self.link_mbps < FAST_LINK_MBPS {
@@ -159,18 +159,18 @@
         }
     }
 
-    /// Returns the number of partitions over which nodes spread the jobs that they store.
+    /// Returns the number of partitions over which nodes distribute the jobs that they store.
     ///
-    /// A partition takes one append at a time; with one for each of some dozens of nodes, a submit waits
-    /// for one append, not for a queue of them, which a slow store would not get done within its timeout.
+    /// A partition handles one append at a time. With one partition for each of a few dozen nodes, a submission waits
+    /// for one append instead of a queue of them, which a slow store could not complete within the timeout.
     #[must_use]
     pub fn job_partitions(&self) -> u32 {
         let topics = MIN_JOB_PARTITIONS.div_ceil(self.partitions.max(1));
         topics * self.partitions.max(1)
     }
 
-    /// Returns how often each partition of jobs is read: the more there are, the less often each, so
-    /// that the reads of all cost the same.
+    /// Returns the interval between reads of one jobs partition. It grows with the number of partitions, so that the
+    /// total cost of reads stays the same.
     #[must_use]
     pub fn jobs_interval_ms(&self) -> u64 {
         let all_ms = self.timing.jobs_read_spacing_ms * u64::from(self.job_partitions());
--- a/crates/cell/src/store_calls.rs
+++ b/crates/cell/src/store_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the store: how long each may take, when it is sent again, and whether the store answers.
+//! Calls to the store: their timeouts, hedged retries, and tracking of the store's availability.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -22,55 +22,55 @@
 use crate::ports::Record;
 use crate::ports::Topic;
 
-/// An append without an answer is sent again after this many times the usual time.
+/// An unanswered append is sent again after this multiple of the usual append time.
 const HEDGE_FACTOR: u64 = 4;
 
-/// It is sent again no sooner than this: above the time of a sound answer.
+/// Shortest wait before an unanswered append is sent again. A healthy store answers sooner.
 const HEDGE_MIN_MS: u64 = 50;
 
-/// A second repeat waits this long, unless the store has answered something that was sent later: a slow store takes
-/// each copy of an append as long as the append itself, and what comes next waits behind them.
+/// Wait before the second and later repeats, unless the store has answered a call that was sent later. A slow
+/// store spends as much time on each copy as on the original append, and later appends queue behind the copies.
 const LATER_HEDGE_MS: u64 = 350;
 
-/// Times that an append is sent in all.
+/// How often an append is sent in total.
 const APPEND_ATTEMPTS: u32 = 4;
 
-/// An append of jobs is given up after this time: the store refuses what would wait for longer in the row of a
+/// Timeout of an append of jobs. The store refuses appends that would wait longer than this in the queue of a
 /// partition.
 const JOBS_APPEND_TIMEOUT_MS: u64 = 3_000;
 
-/// The store is away when it has answered nothing for this long, and something failed since.
+/// The store counts as unavailable when it has answered nothing for this long and a call has failed since.
 const UNAVAILABLE_AFTER_MS: u64 = 200;
 
-/// A store that is slow is given so many times the time that its answers take.
+/// Timeouts grow to this multiple of the recent answer time when the store is slow.
 const LATENCY_FACTOR: u64 = 2;
 
-/// An append is given up after this many times the usual time, or the store's timeout.
+/// Timeout of an append as a multiple of the usual append time. The configured store timeout is the minimum.
 const TIMEOUT_FACTOR: u64 = 3;
 
-/// It is given up after this time however slow the store is.
+/// Upper limit of adaptive timeouts, however slow the store is.
 const TIMEOUT_MAX_MS: u64 = 1_500;
 
-/// Time that an append is taken to need before any was answered.
+/// Assumed append time before the first answer.
 const INITIAL_APPEND_MS: u64 = 15;
 
-/// Whether the store answers this node, and how fast.
+/// Availability and latency of the store as seen by this node.
 #[derive(Debug)]
 pub(crate) struct StoreHealth {
     answers: Cell<bool>,
     last_failure_at: Cell<Millis>,
     last_answer_at: Cell<Millis>,
-    /// How long appends take, but for those of jobs: admission keeps the pace of these.
+    /// Usual time of an append, except for appends of jobs, which admission tracks.
     append_latency: Cell<Pace>,
-    /// How long the calls took that were answered. Unlike the pace, it says nothing of those that were not: a store
-    /// that is away is not slow.
+    /// Usual time of answered calls. Unlike `append_latency`, it ignores unanswered calls, because an
+    /// unavailable store is not a slow one.
     answer_latency: Cell<Pace>,
-    /// When the latest of the calls that were answered had been sent, but for reads that may wait.
+    /// Send time of the most recently sent call that was answered, except for long polls.
     answered_sent_at: Cell<Millis>,
 }
 
 impl StoreHealth {
-    /// Nothing is known yet; the store is taken to answer.
+    /// Creates the initial state, which assumes that the store is available.
     pub(crate) const fn new(began: Millis) -> Self {
         Self {
             answers: Cell::new(true),
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Takes note of an answer, unless something that was sent later was answered before it: a single late answer says
-    /// nothing of how long calls take now.
+    /// Records an answer, unless a call that was sent later was answered before it. Such a late answer does not
+    /// show how long calls take now.
     fn record_answer(&self, sent_at: Millis) {
         if self.is_overtaken(sent_at) {
             return;
@@ -94,7 +94,7 @@
         self.answer_latency.set(latency);
     }
 
-    /// Returns the time that a call is given which a sound store answers within the least.
+    /// Returns the timeout of a call that a healthy store answers within `min_ms`.
     fn latency_timeout_ms(&self, min_ms: u64) -> u64 {
         let by_latency = self.answer_latency.get().usual_ms() * LATENCY_FACTOR;
         by_latency.min(TIMEOUT_MAX_MS).max(min_ms)
@@ -113,12 +113,12 @@
         self.append_latency.set(latency);
     }
 
-    /// Returns the time that an append takes.
+    /// Returns the usual time of an append.
     const fn append_ms(&self) -> u64 {
         self.append_latency.get().usual_ms()
     }
 
-    /// Returns when the latest of the calls that were answered had been sent, but for reads that may wait.
+    /// Returns the send time of the most recently sent call that was answered, except for long polls.
     pub(crate) const fn answered_sent_at(&self) -> Millis {
         self.answered_sent_at.get()
     }
@@ -132,24 +132,25 @@
         (self.append_ms() * HEDGE_FACTOR).max(HEDGE_MIN_MS)
     }
 
-    /// Says whether what was sent at that time has lost its answer, and does not wait in the row of a slow store.
+    /// Returns whether a call sent later was already answered. The answer of a call sent at this time was then
+    /// lost; the call is not just queued in a slow store.
     fn is_overtaken(&self, sent_at: Millis) -> bool {
         self.answered_sent_at.get() > sent_at
     }
 }
 
-/// What a node believes of the store.
+/// Availability of the store as seen by this node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoreView {
-    /// Whether it answers.
+    /// Whether the store is available.
     pub answers: bool,
-    /// Time since it last answered, or since the node began.
+    /// Time since the last answer, or since the node started.
     pub answered_ms: u64,
-    /// Time since a call last failed, or since the node began.
+    /// Time since the last failed call, or since the node started.
     pub failed_ms: u64,
 }
 
-/// What is to be appended, and where.
+/// Arguments of an append.
 #[derive(Debug)]
 struct AppendTarget<'a> {
     topic: Topic,
@@ -158,7 +159,7 @@
     condition: &'a Condition,
 }
 
-/// Why tries of one append failed.
+/// Failures of the attempts of one append.
 #[derive(Debug, Default)]
 struct FailedAttempts {
     doubt: Option<SmolStr>,
@@ -166,7 +167,8 @@
 }
 
 impl FailedAttempts {
-    /// One try in doubt leaves the whole in doubt; only if each was refused, nothing was done.
+    /// Combines the failures. The append was not carried out only if every attempt was refused; one attempt in
+    /// doubt leaves the whole append in doubt.
     fn into_error(self) -> AppendError {
         match (self.doubt, self.refusal) {
             (Some(reason), _) => AppendError::InDoubt(reason),
@@ -180,7 +182,7 @@
 where
     P: Platform,
 {
-    /// Returns what this node believes of the store, and how old that is.
+    /// Returns the availability of the store and the age of the latest answer and failure.
     #[must_use]
     pub fn store_view(&self) -> StoreView {
         let now = now();
@@ -191,21 +193,20 @@
         }
     }
 
-    /// Says whether the store answered last time.
+    /// Returns whether the store is available.
     pub(crate) const fn store_answers(&self) -> bool {
         self.store.answers.get()
     }
 
-    /// Returns when the store last failed to answer.
+    /// Returns the time of the last call that the store refused or did not answer.
     pub(crate) const fn store_failed_at(&self) -> Millis {
         self.store.last_failure_at.get()
     }
 
-    /// Appends to a partition, within the time that a sound store needs.
+    /// Appends to a partition, with a timeout that a healthy store meets.
     ///
-    /// An append that a producer numbers is carried out once, however often it is sent; it is sent
-    /// again while its answer is missing: answers get lost, and to wait for one until the time is
-    /// over holds up all that is to be written next.
+    /// An append with a producer's sequence number is idempotent, so it is sent again while its answer is
+    /// missing. Answers get lost, and waiting for a lost one until the timeout would delay all later appends.
     pub(crate) async fn append(
         &self,
         topic: Topic,
@@ -240,8 +241,8 @@
         outcome
     }
 
-    /// Appends to a partition of the topic of jobs, once. It is given up only when no answer can come any more: the
-    /// callers of its records are answered by then.
+    /// Appends to a partition of the jobs topic, without retries. The call waits until no answer can arrive any
+    /// more; by then the callers of its records have been answered.
     pub(crate) async fn append_jobs(
         &self,
         partition: u32,
@@ -332,7 +333,7 @@
         }
     }
 
-    /// Reads from the store, within the wait and the time that a sound store needs.
+    /// Reads from the store. The timeout is `wait_ms` plus the time that a healthy store needs to answer.
     pub(crate) async fn read(
         &self,
         topic: Topic,
@@ -349,7 +350,7 @@
         outcome
     }
 
-    /// Reads the newest record of each key from the store.
+    /// Reads the newest record of each key in a partition.
     pub(crate) async fn newest(&self, topic: Topic, partition: u32) -> Result<Newest, ReadError> {
         let began = now();
         let limit_ms = self.settings.timing.full_read_timeout_ms;
@@ -359,7 +360,7 @@
         outcome
     }
 
-    /// Asks the store whether it answers again; calls that wait for it find out late.
+    /// Probes the store. Long polls would notice its recovery too late.
     pub(crate) async fn probe(&self) {
         let began = now();
         let read = self.platform.read(Topic::Holders, 0, 0, 0);
@@ -381,7 +382,7 @@
         self.record_store_call(kind, result, began);
     }
 
-    /// Takes note that a call has had no answer for so long that the store may be away.
+    /// Records that a call has been unanswered for so long that the store may be unavailable.
     fn record_unanswered(&self, kind: &'static str) {
         self.store.last_failure_at.set(now());
         self.update_store_health(kind, "in_doubt");
@@ -398,10 +399,10 @@
         self.update_store_health(kind, result);
     }
 
-    /// Judges whether the store answers.
+    /// Updates whether the store counts as available.
     ///
-    /// A store that is down in part fails some calls and answers others at the same time; it counts
-    /// as away only when nothing was answered for a while and something failed since.
+    /// A partially failed store answers some calls and fails others at the same time. It counts as unavailable
+    /// only when it has answered nothing for a while and a call has failed since.
     pub(crate) fn update_store_health(&self, kind: &'static str, result: &'static str) {
         let answered_at = self.store.last_answer_at.get();
         let failed_since = self.store.last_failure_at.get() > answered_at;
--- a/crates/cell/src/submissions.rs
+++ b/crates/cell/src/submissions.rs
@@ -1,6 +1,7 @@
-//! Storing what callers submit: nothing is accepted before the store has acknowledged it.
+//! Stores jobs and cancellations that callers submit. Nothing is accepted before the store has acknowledged it.
 //!
-//! What is sent where, and when a caller is turned away, [`syc_admit::Admission`] decides; here it is carried out.
+//! [`syc_admit::Admission`] decides which records are sent where and which are refused. This module carries out
+//! its decisions.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -35,40 +36,40 @@
 use crate::ports::Record;
 use crate::records;
 
-/// A node that takes a record of another answers this much before the other's patience is over: time for the
-/// answer to get there.
+/// A node that stores a relayed record answers this long before the sender's timeout, so that the answer arrives
+/// in time.
 const REPLY_MARGIN_MS: u64 = 100;
 
-/// What became of a record.
+/// Outcome of storing a submitted record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreOutcome {
-    /// The store has it.
+    /// The store has acknowledged the record.
     Stored,
-    /// The store does not have it and never will.
+    /// The record is not in the store and never will be.
     Refused {
-        /// When the caller should come back.
+        /// Time after which the caller should retry.
         come_back_ms: u64,
     },
-    /// It may be in the store, or come into it.
+    /// The record may be in the store, or may still be stored.
     InDoubt,
 }
 
-/// What is known of a record whose caller is answered.
+/// Final outcome of a record, sent to the task that waits for it.
 #[derive(Debug, Clone, Copy)]
 struct Settlement {
     outcome: Outcome,
-    /// Whether the scheduler knows of it already.
+    /// Whether the scheduler already knows the record.
     is_known_to_scheduler: bool,
 }
 
-/// Records on their way into the store.
+/// Records that are being stored.
 #[derive(Debug)]
 pub(crate) struct SubmissionQueue {
     admission: RefCell<Admission>,
     records: RefCell<SecondaryMap<RecordKey, PendingRecord>>,
-    /// When the next decision is due.
+    /// Time of the next admission decision.
     due_at: Cell<Option<Millis>>,
-    /// Says that it is due sooner.
+    /// Notifies that `due_at` moved to an earlier time.
     due_sooner: Notify,
 }
 
@@ -93,18 +94,18 @@
         !self.admission.borrow().is_idle()
     }
 
-    /// Returns the time that an append takes now.
+    /// Returns the current append time of jobs.
     pub(crate) fn append_ms(&self) -> u64 {
         self.admission.borrow().append_ms(now())
     }
 
-    /// Answers all callers by a time.
+    /// Makes admission answer all callers by this time.
     pub(crate) fn stop_by(&self, at: Millis) {
         self.admission.borrow_mut().stop_by(at);
         self.decide_soon();
     }
 
-    /// Has the next decision made at once.
+    /// Schedules the next admission decision for now.
     pub(crate) fn decide_soon(&self) {
         if self.is_busy() {
             self.set_due(Some(now()));
@@ -135,7 +136,7 @@
             outcome,
             is_known_to_scheduler: pending.is_known_to_scheduler,
         };
-        // A caller that left needs no answer.
+        // A caller that has disconnected needs no answer.
         let _abandoned = pending.reply.send(settled);
     }
 }
@@ -144,30 +145,30 @@
 where
     P: Platform,
 {
-    /// Stores a job; it is accepted once the store has it.
+    /// Stores a job. The job is accepted once the store has acknowledged it.
     pub async fn submit(self: &Rc<Self>, spec: &JobSpec) -> StoreOutcome {
         let timeout_ms = self.settings.timing.submit_timeout_ms;
         self.submit_within(spec, timeout_ms).await
     }
 
-    /// The same for a caller that waits so long for the answer.
+    /// Stores a job for a caller that waits for the answer for at most `timeout_ms`.
     pub async fn submit_within(self: &Rc<Self>, spec: &JobSpec, timeout_ms: u64) -> StoreOutcome {
         let timeout_ms = timeout_ms.min(self.settings.timing.submit_timeout_ms);
         let record = records::submitted(spec);
         self.store_and_notify(record, timeout_ms).await
     }
 
-    /// Stores that a job is cancelled.
+    /// Stores the cancellation of a job.
     pub async fn cancel(self: &Rc<Self>, id: JobId) -> StoreOutcome {
         let timeout_ms = self.settings.timing.submit_timeout_ms;
         self.store_and_notify(records::cancelled(id), timeout_ms)
             .await
     }
 
-    /// Stores a record, and tells the scheduler of it without waiting for that.
+    /// Stores a record, then notifies the scheduler without waiting for its reply.
     ///
-    /// The scheduler would find it in the store by itself, but later: by one answer of the store,
-    /// which takes a quarter of a second while the store is slow.
+    /// The scheduler would find the record in the store by itself, but one store round trip later, which takes a
+    /// quarter of a second while the store is slow.
     async fn store_and_notify(self: &Rc<Self>, record: Record, timeout_ms: u64) -> StoreOutcome {
         let deadline = now().plus(timeout_ms);
         let key = self
@@ -218,13 +219,13 @@
             value: record.value,
             partition,
         });
-        // Without an answer, the scheduler finds the record in the store.
+        // If this notice is lost, the scheduler still finds the record in the store.
         let _notified = link
             .call(notice, self.settings.timing.peer_timeout_ms)
             .await;
     }
 
-    /// Stores a record of another node, if this is the scheduler's, and tells the scheduler of it.
+    /// Stores a record that another node relayed and notifies the scheduler, if this node still holds the role.
     pub(crate) async fn store_relayed(self: &Rc<Self>, relay: Relay) -> RelayReply {
         let timeout_ms = match relay.patience_ms {
             0 => self.settings.timing.store_timeout_ms / 2,
@@ -278,7 +279,7 @@
         }
     }
 
-    /// Decides about the records on their way, and carries that out.
+    /// Runs the admission decision for the pending records and carries out its actions.
     pub(crate) fn decide_admission(self: &Rc<Self>) {
         let queue = &self.submissions;
         let actions = queue
@@ -322,7 +323,7 @@
         self.decide_admission();
     }
 
-    /// Hands a record to the scheduler's node.
+    /// Relays a record to the scheduler's node.
     async fn relay_record(self: Rc<Self>, key: RecordKey, timeout_ms: u64) {
         let began = now();
         let link = self.link.borrow().clone();
@@ -369,7 +370,7 @@
     }
 }
 
-/// Decides whenever time alone makes that due.
+/// Runs admission decisions that become due as time passes.
 pub(crate) async fn run_admission_timer<P>(node: Rc<Node<P>>)
 where
     P: Platform,
--- a/crates/cell/src/unreadable.rs
+++ b/crates/cell/src/unreadable.rs
@@ -1,4 +1,4 @@
-//! What another wrote and can't be read: told once, counted each time.
+//! Reports input that can't be decoded. Each source and name is logged once and counted every time.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -10,38 +10,38 @@
 use crate::ports::Platform;
 use crate::ports::Skipped;
 
-/// Names that were told are remembered, until there are so many: whatever others write, memory and log stay
-/// small. Beyond them it is only counted.
+/// Most names that are logged and remembered. Further ones are only counted, so that faulty input can't fill the
+/// memory or the log.
 const LOGGED_LIMIT: usize = 1_000;
 
-/// What is wrong with a record that names nothing.
-pub(crate) const UNREADABLE_KEY: &str = "its key can't be read";
+/// Reason reported for a record whose key could not be decoded.
+pub(crate) const UNREADABLE_KEY: &str = "the key can't be decoded";
 
-/// Who wrote something.
+/// Origin of unreadable input.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Source {
-    /// Entries of the list of workers.
+    /// Records of registered workers.
     Workers,
-    /// What operators publish.
+    /// Records that operators publish.
     Operators,
-    /// Jobs as nodes store them.
+    /// Job records.
     Jobs,
-    /// What schedulers keep: progress of jobs and waves, the roster.
+    /// Records of schedulers: progress of jobs and waves, and the roster.
     Progress,
-    /// Heartbeats of schedulers.
+    /// Claims and heartbeats of schedulers.
     Holders,
-    /// Answers of workers.
+    /// Answers of workers to orders and renewals.
     WorkerAnswers,
     /// The list of VMs.
     Vms,
-    /// Answers of the service that advises.
+    /// Answers of the advice service.
     Advice,
     /// Calls and replies of other nodes.
     Peers,
 }
 
 impl Source {
-    /// Returns the name for logs and metrics.
+    /// Returns the source's name for logs and metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -58,20 +58,20 @@
     }
 }
 
-/// The names of what can't be read, as far as they were logged.
+/// Sources and names of unreadable input that were already logged.
 #[derive(Debug, Default)]
 pub struct Unreadable {
     logged: RefCell<BTreeSet<(Source, SmolStr)>>,
 }
 
 impl Unreadable {
-    /// Takes note of something that can't be read. Says whether that is to be logged.
+    /// Records unreadable input. Returns whether it should be logged.
     pub fn record(&self, source: Source, name: &str) -> bool {
         let mut logged = self.logged.borrow_mut();
         logged.len() < LOGGED_LIMIT && logged.insert((source, SmolStr::new(name)))
     }
 
-    /// Takes note that it can be read, or is gone: the next time is news.
+    /// Records that the input is readable or was removed. If it becomes unreadable again, it is logged again.
     pub fn forget(&self, source: Source, name: &str) {
         self.logged
             .borrow_mut()
@@ -83,7 +83,7 @@
 where
     P: Platform,
 {
-    /// Takes note of something that can't be read.
+    /// Counts unreadable input, and logs it the first time.
     pub(crate) fn report_unreadable(&self, source: Source, name: &str, reason: &str) {
         self.metrics.unreadable(source.as_str(), 1);
         if self.unreadable.record(source, name) {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Takes note of the parts of an answer that can't be read.
+    /// Counts the skipped parts of an answer, and logs them the first time.
     pub(crate) fn report_skipped(&self, source: Source, name: &str, skipped: &Skipped) {
         if skipped.parts == 0 {
             return;
--- a/crates/cell/tests/cell/clock_agreement.rs
+++ b/crates/cell/tests/cell/clock_agreement.rs
@@ -1,5 +1,5 @@
-//! The time of day that nodes agree on, in virtual time: a step of a few clocks, or one that does not last,
-//! moves nothing.
+//! Tests the agreed wall-clock time in virtual time. A step of a minority of clocks, or one that does not last, must be
+//! ignored.
 
 use syc_cell::clock_agreement::ClockAgreement;
 use syc_types::DayAnchor;
@@ -10,7 +10,7 @@
 const SECOND_MS: u64 = 1_000;
 const START_MS: u64 = 1_790_000_000_000;
 
-/// Nodes, each with a clock that is off by so much; the first is the scheduler.
+/// Simulated nodes with clock offsets. The first node is the scheduler.
 struct Nodes {
     at_ms: u64,
     offsets_ms: Vec<i64>,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Time passes, and the scheduler hears everyone. Returns by how much the agreed time of day is off.
+    /// Advances the time while all nodes report their clocks. Returns the error of the agreed time.
     fn advance(&mut self, time_ms: u64) -> i64 {
         let mut error_ms = 0;
         for _ in 0..time_ms / SECOND_MS {
@@ -48,8 +48,8 @@
                 .report(format!("node-{node}").into(), shown(*offset_ms));
         }
         let agreed = self.day.update(shown(self.offsets_ms[0])).anchor.day_at(at);
-        let ahead = i64::try_from(agreed.ahead_of(right)).expect("no centuries");
-        let behind = i64::try_from(right.ahead_of(agreed)).expect("no centuries");
+        let ahead = i64::try_from(agreed.ahead_of(right)).expect("the difference fits");
+        let behind = i64::try_from(right.ahead_of(agreed)).expect("the difference fits");
         ahead - behind
     }
 }
@@ -77,16 +77,24 @@
     let mut nodes = Nodes::new(3);
     nodes.advance(10_000);
     nodes.offsets_ms.fill(offset_ms);
-    assert_eq!(nodes.advance(20_000), 0, "it may be taken back");
+    assert_eq!(
+        nodes.advance(20_000),
+        0,
+        "the step has not lasted long enough"
+    );
     nodes.offsets_ms.fill(0);
     assert_eq!(nodes.advance(20_000), 0);
     nodes.offsets_ms.fill(offset_ms);
     assert_eq!(
         nodes.advance(20_000),
         0,
-        "the first one does not count for it"
+        "the earlier step does not count towards this one"
+    );
+    assert_eq!(
+        nodes.advance(20_000),
+        offset_ms,
+        "the step has lasted long enough"
     );
-    assert_eq!(nodes.advance(20_000), offset_ms, "the clocks were set");
 }
 
 #[test]
@@ -116,9 +124,9 @@
         offsets_ms: vec![86_400_000],
         day: ClockAgreement::resume(Some(agreed)),
     };
-    assert_eq!(second.advance(SECOND_MS), 0, "its own clock alone");
+    assert_eq!(second.advance(SECOND_MS), 0, "only its own clock reports");
     second.offsets_ms = vec![86_400_000, 0, 0];
-    assert_eq!(second.advance(600_000), 0, "with the others'");
+    assert_eq!(second.advance(600_000), 0, "all clocks report");
 }
 
 #[test]
--- a/crates/cell/tests/cell/clocks.rs
+++ b/crates/cell/tests/cell/clocks.rs
@@ -1,8 +1,8 @@
-//! Clocks that show a wrong time of day: nothing is forgotten, and nothing runs twice, too early or not at all.
+//! With wrong wall clocks, no job may be forgotten, run twice, start too early or never start.
 //!
-//! A scheduler must not take the time since a job's end by two clocks for the job's age: what ended a moment ago on
-//! a node whose clock is behind would be forgotten and its progress removed, and where the job itself is still in
-//! the store at the next takeover, its tasks would run again.
+//! The age of an ended job must not be computed from the clocks of two nodes. If the job ended on a node whose clock is
+//! behind, another node would forget it at once and remove its progress. If the job record is still in the store at the
+//! next takeover, its tasks would run again.
 
 use syc_cell::StateAnswer;
 use syc_cell::ports::Topic;
@@ -17,16 +17,16 @@
 use crate::cluster::job;
 use crate::cluster::step;
 
-/// Long enough that a scheduler has looked several times at what is old meanwhile.
+/// Long enough for the scheduler to check several times which ended jobs are too old.
 const SEVERAL_SWEEPS_MS: u64 = 500;
 
-/// More than any topic has.
+/// Upper bound of the partitions of any topic.
 const MAX_PARTITIONS: u32 = 64;
 
 const STEP_MS: i64 = 200_000;
 const DAY_MS: i64 = 86_400_000;
 
-/// Whose clock is off.
+/// Node whose wall clock is wrong.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum SkewedClock {
     Acceptor,
@@ -58,7 +58,7 @@
     })
 }
 
-/// The clocks are off until the first scheduler ends, and right from then on, but for the successor's.
+/// The clocks are wrong until the first scheduler ends. After that only the successor's may be.
 #[test_case(SkewedClock::Acceptor, -STEP_MS; "the acceptor is behind by 200 s")]
 #[test_case(SkewedClock::Acceptor, DAY_MS; "the acceptor is ahead by a day")]
 #[test_case(SkewedClock::Scheduler, -STEP_MS; "the scheduler is behind by 200 s")]
@@ -86,7 +86,10 @@
     cluster.wait_for_state(second, 2, JobState::Completed);
     let kept = StateAnswer::Known(JobState::Completed);
     assert_eq!(cluster.state(second, 1), kept);
-    assert!(has_progress(&cluster, 1), "removed from the store");
+    assert!(
+        has_progress(&cluster, 1),
+        "the progress was removed from the store"
+    );
     let third = cluster.add_node();
     cluster.kill(second);
     cluster.wait_for_state(third, 2, JobState::Completed);
@@ -94,7 +97,7 @@
     cluster.assert_no_violations();
 }
 
-/// A step while one scheduler goes on.
+/// The clock steps while the same scheduler keeps the role.
 #[test_case(-STEP_MS; "back by 200 s")]
 #[test_case(STEP_MS; "ahead by 200 s")]
 #[test_case(-DAY_MS; "back by a day")]
@@ -119,16 +122,16 @@
     cluster.assert_no_violations();
 }
 
-/// Waits until a node knows that the scheduler has heard all clocks.
+/// Waits until a node knows that all clocks were reported to the scheduler.
 fn wait_for_clocks(cluster: &Cluster, number: usize, clocks: u32) {
-    cluster.wait("all clocks to be heard", || {
+    cluster.wait("all clocks to be reported", || {
         let agreed = cluster.on(number, |node| async move { node.agreed_time() });
         let agreed = agreed.filter(|agreed| agreed.clocks == clocks);
         agreed.map(|_| ())
     });
 }
 
-/// Due long after the test, by a clock that is right.
+/// Creates a job that is due in `time_ms`, according to the node's current clock.
 fn due_in(cluster: &Cluster, node: usize, time_ms: u64) -> JobSpec {
     JobSpec {
         schedule: Schedule {
@@ -140,7 +143,7 @@
     }
 }
 
-/// The step is in the midst of the scheduler's work, before the job comes.
+/// The clock steps while the scheduler is running, before the job is submitted.
 #[test_case(SkewedClock::Scheduler, STEP_MS; "the scheduler is ahead by 200 s")]
 #[test_case(SkewedClock::Scheduler, DAY_MS; "the scheduler is ahead by a day")]
 #[test_case(SkewedClock::Acceptor, STEP_MS; "the acceptor is ahead by 200 s")]
@@ -167,7 +170,7 @@
     assert_eq!(cluster.state(acceptor, 1), waits);
 }
 
-/// The clock is behind when the job comes; it is due at once.
+/// The clock is behind when the job is submitted. The job is due at once.
 #[test_case(SkewedClock::Scheduler, -STEP_MS; "the scheduler is behind by 200 s")]
 #[test_case(SkewedClock::Scheduler, -DAY_MS; "the scheduler is behind by a day")]
 #[test_case(SkewedClock::Acceptor, -STEP_MS; "the acceptor is behind by 200 s")]
@@ -192,7 +195,8 @@
     cluster.assert_no_violations();
 }
 
-/// A process that begins while its clock is off: the others' clocks count, and what the former scheduler told.
+/// A process that starts with a wrong clock must rely on the other nodes' clocks and on the time that the previous
+/// scheduler reported.
 #[test_case(STEP_MS; "ahead by 200 s")]
 #[test_case(DAY_MS; "ahead by a day")]
 fn a_timed_job_waits_under_a_successor_started_with_a_wrong_clock(offset_ms: i64) {
@@ -210,7 +214,7 @@
     assert_eq!(cluster.state(second, 1), waits);
 }
 
-/// A successor that read what was submitted without its progress would run the job again.
+/// A successor that found the job record without its progress would run the job again.
 #[test]
 fn progress_is_kept_as_long_as_the_job_record() {
     let cluster = Cluster::start_with_retention(2, 200);
@@ -227,7 +231,7 @@
         let known = matches!(cluster.state(node, 1), StateAnswer::Known(_));
         (!known).then_some(())
     });
-    // Some rounds in which what is forgotten is removed.
+    // Long enough for several rounds in which records of forgotten jobs are removed.
     std::thread::sleep(std::time::Duration::from_millis(3 * SEVERAL_SWEEPS_MS));
     assert!(has_record(&cluster, Topic::Jobs, &submitted));
     assert!(has_progress(&cluster, 1));
--- a/crates/cell/tests/cell/cluster.rs
+++ b/crates/cell/tests/cell/cluster.rs
@@ -1,4 +1,4 @@
-//! Starts, stops and kills the nodes of a cell, and talks to each.
+//! Test harness that starts and kills the nodes of a cell and makes calls to them.
 
 use std::cell::RefCell;
 use std::net::TcpListener;
@@ -35,30 +35,30 @@
 use syc_types::WorkerId;
 use syc_types::Zone;
 
-/// The queue and service of every test.
+/// Queue and service that every test uses.
 pub const QUEUE: &str = "queue";
 
-/// What the link of a node carries, in megabits a second.
+/// Bandwidth of a node's link in megabits per second.
 const LINK_MBPS: f64 = 1_000.0;
 
-/// Time for which what has ended is kept.
+/// How long the state of ended jobs is kept.
 const STATUS_MS: u64 = 120_000;
 
-/// Something that must come to be has failed to when this is over.
+/// A wait for an expected state fails after this time.
 const WAIT_LIMIT: Duration = Duration::from_mins(1);
 
-/// Waits look this often.
+/// Interval at which waits check their condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 thread_local! {
     static NODE: RefCell<Option<Rc<Node<SharedPlatform>>>> = const { RefCell::new(None) };
 }
 
-/// The nodes of a cell.
+/// Nodes of a cell and their simulated platform.
 pub struct Cluster {
     pub platform: SharedPlatform,
     nodes: Vec<Option<Arbiter>>,
-    /// Where each node reads the time of day.
+    /// Wall clock of each node.
     clocks: Vec<WallClock>,
     status_ms: u64,
     timing: Timing,
@@ -66,9 +66,9 @@
 }
 
 impl Cluster {
-    /// Starts so many nodes over so many workers of eight cores.
+    /// Starts nodes, and registers workers with eight cores each.
     pub fn start(nodes: usize, workers: usize) -> Self {
-        // A read that is never answered must not be waited for.
+        // With this timeout, a node that waits for a read that is never answered fails the test.
         let timing = Timing {
             full_read_timeout_ms: 600_000,
             ..Timing::default()
@@ -76,7 +76,7 @@
         Self::start_with(nodes, workers, timing)
     }
 
-    /// Starts one node that keeps what has ended for so long.
+    /// Starts one node that keeps the state of ended jobs for `status_ms`.
     pub fn start_with_retention(workers: usize, status_ms: u64) -> Self {
         let mut cluster = Self::start(0, workers);
         cluster.status_ms = status_ms;
@@ -84,7 +84,7 @@
         cluster
     }
 
-    /// Starts nodes with links of so many megabits a second, without a configuration.
+    /// Starts nodes with the given link bandwidths, without publishing a configuration.
     pub fn start_unconfigured(links_mbps: &[f64], timing: Timing) -> Self {
         let mut cluster = Self::start_with(0, 1, timing);
         cluster.platform = SharedPlatform::new();
@@ -95,7 +95,7 @@
         cluster
     }
 
-    /// The same with other times.
+    /// Starts nodes and registers workers, with the given intervals and timeouts.
     pub fn start_with(nodes: usize, workers: usize, timing: Timing) -> Self {
         let system = actix_rt::System::new();
         let platform = SharedPlatform::new();
@@ -117,12 +117,12 @@
         cluster
     }
 
-    /// Starts one more node and returns its number.
+    /// Starts another node and returns its number.
     pub fn add_node(&mut self) -> usize {
         self.add_node_with_clock(0)
     }
 
-    /// The same with a clock that is off by so much.
+    /// Starts another node with an offset on its wall clock and returns its number.
     pub fn add_node_with_clock(&mut self, offset_ms: i64) -> usize {
         self.add_node_with(offset_ms, LINK_MBPS)
     }
@@ -152,12 +152,12 @@
         number
     }
 
-    /// Sets by how much the clock of a node is off.
+    /// Sets the offset of a node's wall clock.
     pub fn set_clock(&self, number: usize, offset_ms: i64) {
         self.clocks[number].set_offset_ms(offset_ms);
     }
 
-    /// Runs something on the thread of a node and returns what it gave.
+    /// Runs a function on a node's thread and returns its result.
     pub fn on<T, F, R>(&self, number: usize, call: F) -> T
     where
         T: Send + 'static,
@@ -170,21 +170,21 @@
             let node = NODE.with(|slot| slot.borrow().clone());
             let node = node.expect("the node has started");
             actix_rt::spawn(async move {
-                // Nobody waits any more where the test has failed.
+                // The receiver is gone if the test has failed.
                 let _unheard = sender.send(call(node).await);
             });
         });
         receiver.recv_timeout(WAIT_LIMIT).expect("the node answers")
     }
 
-    /// Ends a node without warning.
+    /// Ends a node abruptly.
     pub fn kill(&mut self, number: usize) {
         let arbiter = self.nodes[number].take().expect("the node is up");
         arbiter.stop();
         arbiter.join().expect("the thread ends");
     }
 
-    /// Returns the numbers of the nodes that are up.
+    /// Returns the numbers of the running nodes.
     pub fn live_nodes(&self) -> Vec<usize> {
         let numbers = 0..self.nodes.len();
         numbers
@@ -201,7 +201,7 @@
         })
     }
 
-    /// Waits until something is there.
+    /// Polls until `poll` returns a value, and fails the test after [`WAIT_LIMIT`].
     pub fn wait<T, F>(&self, what: &str, mut poll: F) -> T
     where
         F: FnMut() -> Option<T>,
@@ -214,19 +214,19 @@
             }
             assert!(
                 waited < WAIT_LIMIT,
-                "{what} did not come to be with {nodes} nodes"
+                "timed out waiting for {what} with {nodes} nodes"
             );
             std::thread::sleep(POLL_INTERVAL);
             waited += POLL_INTERVAL;
         }
     }
 
-    /// Submits a job at a node, again and again until it is stored, as a caller does.
+    /// Submits a job at a node and retries until it is stored, as callers do.
     pub fn submit(&self, number: usize, id: u64, steps: Vec<StepSpec>) {
         self.submit_job(number, &job(id, steps));
     }
 
-    /// The same with a job of any kind.
+    /// Submits any kind of job and retries until it is stored.
     pub fn submit_job(&self, number: usize, spec: &JobSpec) {
         self.plan_tasks(spec);
         self.wait("the submit to be stored", || {
@@ -234,12 +234,12 @@
         });
     }
 
-    /// Returns the time of day of a node.
+    /// Reads a node's wall clock.
     pub fn wall_clock(&self, number: usize) -> TimeOfDay {
         self.clocks[number].read()
     }
 
-    /// Returns the state of a job as a node shows it.
+    /// Returns the state of a job as reported by a node.
     pub fn state(&self, number: usize, id: u64) -> StateAnswer {
         self.on(
             number,
@@ -247,14 +247,14 @@
         )
     }
 
-    /// Submits a job at a node, once.
+    /// Submits a job at a node without retrying.
     pub fn submit_once(&self, number: usize, id: u64, steps: Vec<StepSpec>) -> StoreOutcome {
         let spec = job(id, steps);
         self.plan_tasks(&spec);
         self.try_submit(number, &spec)
     }
 
-    /// Submits two jobs at a node, the second while the first is under way.
+    /// Submits two jobs at a node, the second while the first is still being stored.
     pub fn submit_concurrently(&self, number: usize, ids: [u64; 2]) -> [StoreOutcome; 2] {
         let [first, second] = ids.map(|id| job(id, vec![step(1, 20)]));
         self.plan_tasks(&first);
@@ -276,7 +276,7 @@
         self.on(number, move |node| async move { node.submit(&spec).await })
     }
 
-    /// Tells the workers how the tasks of a job go.
+    /// Tells the simulated workers how the tasks of a job behave.
     fn plan_tasks(&self, spec: &JobSpec) {
         self.platform.with_fleet(|fleet| {
             fleet.judge.submitted(spec.clone());
@@ -300,7 +300,7 @@
         });
     }
 
-    /// Waits until a node shows a state of a job.
+    /// Waits until a node reports a state of a job.
     pub fn wait_for_state(&self, number: usize, id: u64, state: JobState) {
         let what = format!("job {id} in state {state:?} at node {number}");
         self.wait(&what, || {
@@ -312,7 +312,7 @@
         });
     }
 
-    /// Fails if any rule was broken on the workers.
+    /// Fails if the workers saw a violation of a scheduling rule.
     pub fn assert_no_violations(&self) {
         let faults = self
             .platform
@@ -381,7 +381,7 @@
     }
 }
 
-/// A worker of eight cores.
+/// Creates the specification of a worker with eight cores.
 pub fn worker(index: usize) -> WorkerSpec {
     WorkerSpec {
         id: WorkerId::new(format!("w-{index}")),
@@ -396,7 +396,7 @@
     }
 }
 
-/// A job of the queue.
+/// Creates a job of [`QUEUE`].
 pub fn job(id: u64, steps: Vec<StepSpec>) -> JobSpec {
     JobSpec {
         id: JobId(id),
@@ -416,7 +416,7 @@
     }
 }
 
-/// A step of tasks that take so long.
+/// Creates a step whose tasks take `work_ms` each.
 pub fn step(tasks: u32, work_ms: u64) -> StepSpec {
     StepSpec {
         tasks,
--- a/crates/cell/tests/cell/fuzz.rs
+++ b/crates/cell/tests/cell/fuzz.rs
@@ -1,4 +1,4 @@
-//! Generated input for every reader of what a cell keeps in the store, and of frames between nodes.
+//! Fuzzes the decoders of records in the store and of frames between nodes.
 
 use bytes::Bytes;
 use syc_cell::ports::Record;
@@ -45,7 +45,7 @@
 
 const JOB: u64 = 0x0a0b_0c0d_0e0f_0001;
 
-/// Plays a reader with input of each kind.
+/// Runs a decoder on each kind of generated input.
 fn fuzz<T, F>(sound: &[Vec<u8>], read: F)
 where
     T: PartialEq + std::fmt::Debug,
@@ -195,7 +195,7 @@
     unreadable.is_empty().then_some(workers)
 }
 
-/// Amounts of all workers are added up: one must not overflow the sum.
+/// The capacities of all workers are summed, and one worker must not overflow the sum.
 #[test]
 fn a_roster_with_an_impossible_capacity_is_rejected() {
     let mut workers = vec![worker(0), worker(1)];
@@ -277,7 +277,7 @@
     frames_with_an_unknown_field(&sound, read);
 }
 
-/// Gives a reader sound frames with a field of a later version: number 100, a text.
+/// Checks that a decoder ignores an unknown string field (number 100), as a later version may add one.
 fn frames_with_an_unknown_field<T, F>(sound: &[Vec<u8>], read: F)
 where
     T: PartialEq + std::fmt::Debug,
@@ -290,7 +290,7 @@
     }
 }
 
-/// The daemons' frames have the same decoder.
+/// Frames between daemons use the same decoder.
 #[test]
 fn frames_between_daemons() {
     let spec = WireSpec {
--- a/crates/cell/tests/cell/main.rs
+++ b/crates/cell/tests/cell/main.rs
@@ -1,7 +1,7 @@
-//! Whole nodes of a cell, each on a thread of its own, over stand-ins of the platform.
+//! Runs complete nodes of a cell, each on its own thread, against a simulated platform.
 //!
-//! Nothing here asserts on elapsed time: a test waits for what must come to be, and fails only where
-//! it has not come long after it had to.
+//! No test asserts on elapsed time. Tests poll for the expected state and fail only after a timeout that is much longer
+//! than a correct node needs.
 
 mod clock_agreement;
 mod clocks;
--- a/crates/cell/tests/cell/service.rs
+++ b/crates/cell/tests/cell/service.rs
@@ -1,4 +1,4 @@
-//! What callers get while nothing is wrong.
+//! Behaviour that callers see while there are no failures.
 
 use syc_cell::PendingAnswer;
 use syc_cell::StateAnswer;
@@ -63,7 +63,7 @@
     let cluster = Cluster::start(2, 1);
     cluster.scheduler();
     for number in cluster.live_nodes() {
-        cluster.wait("a clear answer", || {
+        cluster.wait("the job to be reported as missing", || {
             let shown = cluster.on(number, |node| async move { node.state(JobId(9)).await });
             (shown == StateAnswer::NoSuchJob).then_some(())
         });
@@ -117,6 +117,6 @@
     cluster.submit(node, 1, vec![small]);
     cluster.wait_for_state(node, 1, JobState::Completed);
     let most = cluster.platform.most_orders();
-    assert!(most <= 24, "{most} connections to one worker");
+    assert!(most <= 24, "{most} concurrent orders to one worker");
     cluster.assert_no_violations();
 }
--- a/crates/cell/tests/cell/store.rs
+++ b/crates/cell/tests/cell/store.rs
@@ -1,4 +1,4 @@
-//! The store turns nodes away, does not answer, loses answers, forgets its history.
+//! Failures of the store: it refuses nodes, does not answer, loses answers or drops its history.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -23,7 +23,7 @@
 use crate::cluster::node_name;
 use crate::cluster::step;
 
-/// Time that a planned stop has: less than a submit waits for an answer.
+/// Duration of a planned stop, shorter than the timeout of a submission.
 const STOP_MS: u64 = 300;
 
 fn node_names<I>(numbers: I) -> BTreeSet<SmolStr>
@@ -128,8 +128,8 @@
     assert_eq!(shown, StateAnswer::NoSuchJob);
 }
 
-/// A planned stop ends when its time is over. A submit that came late in it, over a connection that was kept, waited
-/// for an answer of the store that was lost for longer than that, and was cut without one of its own.
+/// A submission that arrived during a planned stop, on a connection that was kept alive, waited for a lost answer of
+/// the store beyond the end of the stop. Its connection was closed without a reply.
 #[test]
 fn a_planned_stop_answers_pending_submits_before_its_deadline() {
     let cluster = Cluster::start(1, 1);
@@ -145,7 +145,7 @@
         actix_rt::time::sleep(Duration::from_millis(10)).await;
         node.begin_stop(now().plus(STOP_MS)).await;
         node.finish_stop(STOP_MS).await;
-        // What has no answer now is cut.
+        // Submissions without an outcome would be cut off now.
         submitted.now_or_never()
     });
     let outcome = outcome
@@ -192,7 +192,7 @@
     cluster.assert_no_violations();
 }
 
-/// A job that was stored in a partition that is not read waits, and nobody counts it.
+/// A pending job in a partition that can't be read would be missing from the count.
 #[test]
 fn jobs_are_counted_only_while_every_jobs_partition_is_read() {
     let cluster = Cluster::start(1, 1);
@@ -214,8 +214,8 @@
     });
 }
 
-/// An answer says what the store had when it was asked. Dated by its arrival, a count could be older than what
-/// counts as current, by the longest read, and miss a job that must be counted.
+/// An answer reflects the store at the time of the request. If it were dated by its arrival, a count could be
+/// outdated by the duration of the longest read and miss a job that must be counted.
 #[test]
 fn jobs_are_not_counted_from_stale_reads() {
     let timing = Timing {
@@ -235,7 +235,7 @@
     cluster.wait("no count", || {
         (count() == PendingAnswer::Unsure).then_some(())
     });
-    // Each of these asks for as long as a caller waits, and so meets several answers that come late.
+    // Each query lasts as long as a caller waits, and so sees several late answers.
     for _ in 0..4 {
         assert_eq!(count(), PendingAnswer::Unsure);
     }
@@ -268,7 +268,7 @@
     cluster.assert_no_violations();
 }
 
-/// A slow node that read everything again at each try would never be done.
+/// A slow node that read all partitions again at each attempt would never finish.
 #[test]
 fn a_takeover_retries_only_the_partition_that_failed() {
     let mut cluster = Cluster::start(2, 2);
@@ -281,7 +281,7 @@
         ..SharedFaults::default()
     });
     cluster.kill(first);
-    cluster.wait("several tries", || {
+    cluster.wait("several attempts", || {
         (cluster.platform.refused_reads() > 5).then_some(())
     });
     cluster.platform.set_faults(SharedFaults::default());
@@ -291,7 +291,7 @@
     cluster.assert_no_violations();
 }
 
-/// What was sent to a store that was silent is never answered, though the store is back.
+/// Reads that were sent during a store outage are never answered, even after the store has recovered.
 #[test]
 fn a_takeover_does_not_wait_for_lost_reads() {
     let mut cluster = Cluster::start(2, 2);
--- a/crates/cell/tests/cell/unreadable.rs
+++ b/crates/cell/tests/cell/unreadable.rs
@@ -1,4 +1,4 @@
-//! What another wrote and can't be read: it costs itself, is counted, and changes nothing else.
+//! Unreadable input from other components must be skipped and counted, and must not affect anything else.
 
 use bytes::Bytes;
 use syc_cell::Source;
@@ -31,7 +31,7 @@
 use crate::cluster::step;
 use crate::cluster::worker;
 
-/// Time that a call between nodes may take here.
+/// Timeout of a call between nodes in these tests.
 const CALL_MS: u64 = 30_000;
 
 /// Partitions that hold the progress of jobs.
@@ -49,11 +49,11 @@
     cluster.platform.with_store(|store| {
         let records = std::slice::from_ref(record);
         let appended = store.append(topic, partition, records, &Condition::None);
-        appended.expect("nothing refuses it");
+        appended.expect("the append succeeds");
     });
 }
 
-/// Returns how often a node found something of a source unreadable.
+/// Returns a node's count of unreadable input from a source.
 fn unreadable_count(cluster: &Cluster, node: usize, source: &str) -> u64 {
     let page = cluster.on(node, |node| async move { node.metrics_page() });
     let label = format!("source=\"{source}\"");
@@ -66,7 +66,7 @@
 }
 
 fn wait_until_counted(cluster: &Cluster, node: usize, source: &str, count: u64) {
-    cluster.wait("it to be counted", || {
+    cluster.wait("the unreadable input to be counted", || {
         (unreadable_count(cluster, node, source) >= count).then_some(())
     });
 }
@@ -90,21 +90,22 @@
     assert_eq!(version(&cluster, 0), Some(1));
     cluster.submit(0, 1, vec![step(1, 20)]);
     cluster.wait_for_state(0, 1, JobState::Completed);
-    // One that starts now has none to keep.
+    // A node that starts now has no previous configuration.
     let late = cluster.add_node();
     wait_until_counted(&cluster, late, "operators", 1);
     assert_eq!(version(&cluster, late), None);
     assert!(!cluster.on(late, |node| async move { node.is_ready() }));
     cluster.platform.publish(configuration(3));
     for node in [0, late] {
-        cluster.wait("the next one to be in force", || {
+        cluster.wait("the next configuration to be in force", || {
             (version(&cluster, node) == Some(3)).then_some(())
         });
     }
     cluster.assert_no_violations();
 }
 
-/// A later version of ourselves wrote it: what of the job is done is not known here.
+/// The progress may have been written by a later version. Which tasks are done is then unknown, and starting them could
+/// run them twice.
 #[test]
 fn a_job_with_unreadable_progress_starts_no_tasks() {
     let mut cluster = Cluster::start(2, 2);
@@ -149,7 +150,7 @@
     }
 }
 
-/// Whoever submitted it must not hear that it does not exist.
+/// The caller that submitted the job must not be told that it does not exist.
 #[test]
 fn a_job_with_an_unreadable_record_is_not_reported_as_missing() {
     let mut cluster = Cluster::start(2, 1);
@@ -170,18 +171,18 @@
     let second = cluster.scheduler();
     assert_eq!(state(&cluster, second, 0xa1), StateAnswer::Unsure);
     assert!(unreadable_count(&cluster, second, "jobs") >= 2);
-    // Once it is removed, it is as any other that there never was.
+    // Once the record is removed, the job is reported as missing.
     append_value(&cluster, Topic::Jobs, 1, "00000000000000a1", b"");
-    cluster.wait("it to be forgotten", || {
+    cluster.wait("the job to be forgotten", || {
         (state(&cluster, second, 0xa1) == StateAnswer::NoSuchJob).then_some(())
     });
 }
 
-/// The core takes it that a job is sound, and that it is the one that its key names.
+/// The scheduler core assumes that a job is valid and is the one named by its key, so the node has to check both.
 #[test_case(&JobSpec { steps: Vec::new(), ..job(0xa2, Vec::new()) }; "no steps")]
-#[test_case(&job(0xa2, vec![StepSpec { after: vec![3], ..step(1, 20) }]); "a step after one that is not there")]
-#[test_case(&job(0xa2, vec![step(4_000_000_000, 20)]); "more tasks than a job may have")]
-#[test_case(&job(0xa2, vec![step(1, u64::MAX), after_first(step(1, u64::MAX))]); "times without end")]
+#[test_case(&job(0xa2, vec![StepSpec { after: vec![3], ..step(1, 20) }]); "dependency on a missing step")]
+#[test_case(&job(0xa2, vec![step(4_000_000_000, 20)]); "too many tasks")]
+#[test_case(&job(0xa2, vec![step(1, u64::MAX), after_first(step(1, u64::MAX))]); "estimates that overflow")]
 #[test_case(&JobSpec { id: JobId(0xa3), ..job(0xa2, vec![step(1, 20)]) }; "another job")]
 fn an_invalid_job_is_not_scheduled(spec: &JobSpec) {
     let mut cluster = Cluster::start(2, 1);
@@ -202,7 +203,8 @@
     cluster.assert_no_violations();
 }
 
-/// Without the list of those that may run something, a successor waits until no lease can be left.
+/// Without the roster, a successor doesn't know which workers may run tasks. It has to wait until every lease has
+/// expired.
 #[test]
 fn a_successor_with_an_unreadable_roster_starts_nothing_that_may_be_running() {
     let mut cluster = Cluster::start(2, 1);
@@ -210,7 +212,7 @@
     cluster.submit(first, 1, vec![step(1, 600_000)]);
     cluster.wait_for_state(first, 1, JobState::Running);
     cluster.kill(first);
-    // Its worker is off the list, and nothing says that the job was given to it.
+    // The worker is no longer listed, and no progress record shows that it was given the job.
     cluster.platform.unlist(&worker(0).id);
     for partition in 0..PROGRESS_PARTITIONS {
         append_value(
@@ -242,7 +244,7 @@
     cluster.assert_no_violations();
 }
 
-/// A clock is only added to; one that reads too much must not end the renewals.
+/// Lease ends are computed by adding to the worker's clock. A clock near its maximum must not stop the renewals.
 #[test]
 fn leases_are_renewed_on_a_worker_whose_clock_would_overflow() {
     let cluster = Cluster::start(1, 1);
@@ -252,7 +254,7 @@
         ..SharedFaults::default()
     });
     cluster.submit(node, 1, vec![step(1, 3_000)]);
-    cluster.wait("an odd clock to be read", || {
+    cluster.wait("the wrong clock to be read", || {
         (cluster.platform.odd_clocks_read() > 2).then_some(())
     });
     cluster.platform.set_faults(SharedFaults::default());
@@ -284,7 +286,7 @@
     assert!(unreadable.record(Source::Workers, "w-0"));
 }
 
-/// Whoever writes new names for ever fills neither the memory nor the log.
+/// An endless supply of new names must fill neither the memory nor the log.
 #[test]
 fn at_most_a_thousand_names_are_logged() {
     let unreadable = Unreadable::default();
@@ -297,11 +299,11 @@
     unreadable.forget(Source::Workers, "w-7");
     assert!(
         unreadable.record(Source::Workers, "w-5000"),
-        "there is room"
+        "forgetting a name makes room for another"
     );
 }
 
-/// Calls a node as another would, and returns what it answers.
+/// Calls a node as another node would, and returns its reply.
 fn call(cluster: &Cluster, node: usize, frame: Bytes) -> Bytes {
     cluster.on(node, move |node| async move {
         let client = PeerClient::new(node.settings.peer_address, PeerOptions::default());
@@ -317,7 +319,7 @@
         leading: true,
         ..ContactReply::default()
     }));
-    // Bytes that are no message, a message of a later version, and a reply that comes as a call.
+    // Bytes that are not a message, a message of a later version, and a reply sent as a call.
     let later = Bytes::from_static(b"\xa2\x06\x01x");
     for frame in [Bytes::from_static(b"\xff\xff\xff"), later, reply] {
         assert_eq!(call(&cluster, node, frame), Bytes::new());
@@ -336,8 +338,8 @@
     cluster.wait_for_state(node, 1, JobState::Completed);
 }
 
-/// The scheduler removes a job's records where it was told they are: a partition that is not there would
-/// be made, and with it a topic.
+/// The scheduler later removes a job's records from the partition given in the notice. For an unknown partition, this
+/// would create the partition and a topic.
 #[test]
 fn a_notice_for_an_unknown_partition_is_rejected() {
     let cluster = Cluster::start(1, 1);
