--- a/crates/cell/src/claims.rs
+++ b/crates/cell/src/claims.rs
@@ -287,15 +287,15 @@
     }
     node.holder.borrow_mut().clone_from(&claims.holder);
     node.holder_suspected.set(false);
-    let leading = node.leader();
+    let leader = node.leader();
     let own = claims
         .holder
         .as_ref()
         .filter(|holder| holder.incarnation == node.incarnation);
-    if let Some(leading) = leading
-        && own.is_none_or(|own| own.token != leading.token)
+    if let Some(leader) = leader
+        && own.is_none_or(|own| own.token != leader.token)
     {
-        leading.end("another_was_chosen");
+        leader.end("another_was_chosen");
     }
     match own {
         Some(own) if node.leader().is_none() => {
--- a/crates/cell/src/clock_agreement.rs
+++ b/crates/cell/src/clock_agreement.rs
@@ -49,33 +49,35 @@
     }
 
     /// Records the reading of another node's clock.
-    pub fn report(&mut self, node: SmolStr, day: DayAnchor) {
-        self.reports.insert(node, day);
+    pub fn report(&mut self, node: SmolStr, anchor: DayAnchor) {
+        self.reports.insert(node, anchor);
     }
 
     /// Records the reading of the scheduler's own clock and returns the agreed time.
     pub fn update(&mut self, own: DayAnchor) -> AgreedTime {
-        let seen = self.median(own);
-        let known = self.agreed.filter(|known| seen.clocks <= known.clocks);
-        let Some(known) = known else {
+        let median = self.median(own);
+        let current = self
+            .agreed
+            .filter(|current| median.clocks <= current.clocks);
+        let Some(current) = current else {
             // A median of more clocks than before is accepted at once.
-            return self.accept(seen);
+            return self.accept(median);
         };
         let followed = AgreedTime {
-            anchor: seen.anchor,
-            ..known
+            anchor: median.anchor,
+            ..current
         };
-        if known.anchor.differs_ms(seen.anchor) <= MAX_SLEW_MS {
+        if current.anchor.differs_ms(median.anchor) <= MAX_SLEW_MS {
             return self.accept(followed);
         }
         let same_step = self
             .pending_step
-            .filter(|first| first.differs_ms(seen.anchor) <= MAX_SLEW_MS);
-        let first = *self.pending_step.insert(same_step.unwrap_or(seen.anchor));
-        if seen.anchor.at.since(first.at) >= STEP_SETTLE_MS {
+            .filter(|first| first.differs_ms(median.anchor) <= MAX_SLEW_MS);
+        let first = *self.pending_step.insert(same_step.unwrap_or(median.anchor));
+        if median.anchor.at.since(first.at) >= STEP_SETTLE_MS {
             return self.accept(followed);
         }
-        known
+        current
     }
 
     fn accept(&mut self, agreed: AgreedTime) -> AgreedTime {
@@ -88,17 +90,17 @@
     fn median(&mut self, own: DayAnchor) -> AgreedTime {
         let now = own.at;
         self.reports
-            .retain(|_, day| now.since(day.at) <= REPORT_MAX_AGE_MS);
-        let reported = self.reports.values().map(|day| day.day_at(now));
-        let mut days: Vec<TimeOfDay> = reported.collect();
-        days.push(own.day);
-        days.sort_unstable();
+            .retain(|_, anchor| now.since(anchor.at) <= REPORT_MAX_AGE_MS);
+        let reported = self.reports.values().map(|anchor| anchor.day_at(now));
+        let mut times: Vec<TimeOfDay> = reported.collect();
+        times.push(own.day);
+        times.sort_unstable();
         AgreedTime {
             anchor: DayAnchor {
                 at: now,
-                day: days[(days.len() - 1) / 2],
+                day: times[(times.len() - 1) / 2],
             },
-            clocks: u32::try_from(days.len()).unwrap_or(u32::MAX),
+            clocks: u32::try_from(times.len()).unwrap_or(u32::MAX),
         }
     }
 }
--- a/crates/cell/src/configuration.rs
+++ b/crates/cell/src/configuration.rs
@@ -22,7 +22,7 @@
 impl Configuration {
     /// Returns whether workers of a service may be used.
     #[must_use]
-    pub fn names_service(&self, service: &ServiceName) -> bool {
+    pub fn allows_service(&self, service: &ServiceName) -> bool {
         self.services.is_empty() || self.services.contains(service)
     }
 }
--- a/crates/cell/src/leader/load.rs
+++ b/crates/cell/src/leader/load.rs
@@ -34,7 +34,7 @@
 use crate::leader::vms::write_statuses;
 use crate::leader::waits::Waits;
 use crate::log;
-use crate::log::Loaded;
+use crate::log::LoadedState;
 use crate::ports::Newest;
 use crate::ports::Platform;
 use crate::ports::Topic;
@@ -71,13 +71,13 @@
     let left = read_left(&leader).await;
     let read_ms = now().since(began) - fenced_ms;
     let progress_records = restore(&leader, &left);
-    let loaded = Loaded {
+    let loaded = LoadedState {
         counts: leader.counts(),
         progress_records,
         fenced_ms,
         read_ms,
     };
-    log::loaded(leader.token, &loaded);
+    log::state_loaded(leader.token, &loaded);
     leader.spawn(readers::follow_workers(
         Rc::clone(&leader),
         left.workers.read_from,
--- a/crates/cell/src/leader/orders.rs
+++ b/crates/cell/src/leader/orders.rs
@@ -132,7 +132,7 @@
             run,
             worker: &link.address.id,
             error,
-            under_way: link.under_way(),
+            in_flight: link.under_way(),
             connections_opened: platform.connections_opened_to(&link.address),
         }
     }
--- a/crates/cell/src/leader/readers.rs
+++ b/crates/cell/src/leader/readers.rs
@@ -233,7 +233,7 @@
         return None;
     }
     let reason = match node.platform.worker(&record.key, &record.value) {
-        Ok(spec) if node.names_service(&spec.service) => {
+        Ok(spec) if node.allows_service(&spec.service) => {
             node.unreadable.forget(Source::Workers, &record.key);
             let id = spec.id.clone();
             leader.list_worker(&record.key, spec);
--- a/crates/cell/src/log.rs
+++ b/crates/cell/src/log.rs
@@ -131,14 +131,14 @@
 
 /// State that a takeover loaded, and how long it took.
 #[derive(Debug)]
-pub(crate) struct Loaded {
+pub(crate) struct LoadedState {
     pub(crate) counts: Counts,
     pub(crate) progress_records: usize,
     pub(crate) fenced_ms: u64,
     pub(crate) read_ms: u64,
 }
 
-pub(crate) fn loaded(token: u64, loaded: &Loaded) {
+pub(crate) fn state_loaded(token: u64, loaded: &LoadedState) {
     Line::new(catalogue::STATE_LOADED)
         .number("token", token)
         .number("open_jobs", loaded.counts.open_jobs)
@@ -217,7 +217,7 @@
     pub(crate) worker: &'a WorkerId,
     pub(crate) error: &'a OrderError,
     /// Unanswered orders to this worker, including this one.
-    pub(crate) under_way: usize,
+    pub(crate) in_flight: usize,
     /// Connections opened to this worker so far.
     pub(crate) connections_opened: u64,
 }
@@ -243,7 +243,7 @@
         .number("run", order.run.0)
         .text("worker", order.worker.as_str())
         .display("reason", order.error)
-        .number("under_way", order.under_way)
+        .number("under_way", order.in_flight)
         .number("connections_opened", order.connections_opened)
 }
 
--- a/crates/cell/src/node.rs
+++ b/crates/cell/src/node.rs
@@ -107,7 +107,7 @@
 {
     /// Starts a node on the current arbiter. `peers` accepts calls from other nodes.
     pub fn start(platform: P, settings: NodeSettings, peers: TcpListener) -> Rc<Self> {
-        let began = now();
+        let started_at = now();
         let node = Rc::new(Self {
             platform,
             metrics: CellMetrics::new(),
@@ -115,7 +115,7 @@
             incarnation: rand::rngs::SmallRng::from_os_rng().random_range(1..=u64::from(u32::MAX)),
             configuration: RefCell::default(),
             waves: RefCell::default(),
-            store: StoreHealth::new(began),
+            store: StoreHealth::new(started_at),
             holder: RefCell::default(),
             link: RefCell::default(),
             leader: RefCell::default(),
@@ -124,7 +124,7 @@
             holder_changed: Notify::new(),
             holder_suspected: Cell::new(false),
             stopping: Cell::new(false),
-            claim_not_before: Cell::new(began),
+            claim_not_before: Cell::new(started_at),
             reported_time: Cell::new(None),
             unsent_replies: UnsentReplies::default(),
             settings,
@@ -147,9 +147,9 @@
     }
 
     /// Returns whether workers of a service may be used. Without a configuration, all may.
-    pub(crate) fn names_service(&self, service: &ServiceName) -> bool {
+    pub(crate) fn allows_service(&self, service: &ServiceName) -> bool {
         let configuration = self.configuration();
-        configuration.is_none_or(|current| current.names_service(service))
+        configuration.is_none_or(|current| current.allows_service(service))
     }
 
     /// Returns whether the load balancer should send new connections to this node.
--- a/crates/cell/src/ports.rs
+++ b/crates/cell/src/ports.rs
@@ -311,7 +311,7 @@
 
 /// Answer of a worker to a renewal.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Renewed {
+pub struct RenewalReply {
     /// Reading of the worker's clock.
     pub clock_ms: u64,
     /// Start time of the worker's process in milliseconds since 1970, if the worker reports it.
@@ -391,7 +391,7 @@
         worker: &WorkerAddress,
         renewal: &Renewal,
         timeout_ms: u64,
-    ) -> impl Future<Output = Result<Renewed, OrderError>>;
+    ) -> impl Future<Output = Result<RenewalReply, OrderError>>;
 
     /// Returns the counts of connections to all workers.
     fn connections(&self) -> ConnectionCounts {
--- a/crates/cell/src/store_calls.rs
+++ b/crates/cell/src/store_calls.rs
@@ -71,14 +71,14 @@
 
 impl StoreHealth {
     /// Creates the initial state, which assumes that the store is available.
-    pub(crate) const fn new(began: Millis) -> Self {
+    pub(crate) const fn new(started_at: Millis) -> Self {
         Self {
             answers: Cell::new(true),
-            last_failure_at: Cell::new(began),
-            last_answer_at: Cell::new(began),
+            last_failure_at: Cell::new(started_at),
+            last_answer_at: Cell::new(started_at),
             append_latency: Cell::new(Pace::new(INITIAL_APPEND_MS)),
             answer_latency: Cell::new(Pace::new(0)),
-            answered_sent_at: Cell::new(began),
+            answered_sent_at: Cell::new(started_at),
         }
     }
 
@@ -224,7 +224,7 @@
             records,
             condition,
         };
-        let began = now();
+        let started_at = now();
         let limit_ms = self
             .store
             .append_timeout_ms(self.settings.timing.store_timeout_ms);
@@ -237,7 +237,7 @@
                 Err(timed_out())
             }
         };
-        self.record_store_call("append", append_result_label(&outcome), began);
+        self.record_store_call("append", append_result_label(&outcome), started_at);
         outcome
     }
 
@@ -248,7 +248,7 @@
         partition: u32,
         records: &[Record],
     ) -> Result<Appended, AppendError> {
-        let began = now();
+        let started_at = now();
         let call = self
             .platform
             .append(Topic::Jobs, partition, records, &Condition::None);
@@ -263,16 +263,16 @@
             Ok(outcome) => outcome,
             Err(_elapsed) => {
                 self.record_unanswered("append");
-                let left =
+                let remaining =
                     Duration::from_millis(JOBS_APPEND_TIMEOUT_MS.saturating_sub(soft_limit_ms));
-                let second = tokio::time::timeout(left, call).await;
+                let second = tokio::time::timeout(remaining, call).await;
                 second.unwrap_or_else(|_elapsed| Err(timed_out()))
             }
         };
         if outcome.is_ok() {
-            self.store.record_answer(began);
+            self.store.record_answer(started_at);
         }
-        self.record_store_call("append", append_result_label(&outcome), began);
+        self.record_store_call("append", append_result_label(&outcome), started_at);
         outcome
     }
 
@@ -341,45 +341,50 @@
         from: u64,
         wait_ms: u64,
     ) -> Result<Page, ReadError> {
-        let began = now();
+        let started_at = now();
         let min_ms = self.settings.timing.store_timeout_ms;
         let limit_ms = wait_ms + self.store.latency_timeout_ms(min_ms);
         let call = self.platform.read(topic, partition, from, wait_ms);
         let outcome = read_with_timeout(limit_ms, call).await;
-        self.record_read("read", &outcome, began);
+        self.record_read("read", &outcome, started_at);
         outcome
     }
 
     /// Reads the newest record of each key in a partition.
     pub(crate) async fn newest(&self, topic: Topic, partition: u32) -> Result<Newest, ReadError> {
-        let began = now();
+        let started_at = now();
         let limit_ms = self.settings.timing.full_read_timeout_ms;
         let call = self.platform.newest(topic, partition);
         let outcome = read_with_timeout(limit_ms, call).await;
-        self.record_read("newest", &outcome, began);
+        self.record_read("newest", &outcome, started_at);
         outcome
     }
 
     /// Probes the store. Long polls would notice its recovery too late.
     pub(crate) async fn probe(&self) {
-        let began = now();
+        let started_at = now();
         let read = self.platform.read(Topic::Holders, 0, 0, 0);
         let min_ms = self.settings.timing.probe_timeout_ms;
         let outcome = read_with_timeout(self.store.latency_timeout_ms(min_ms), read).await;
         if outcome.is_ok() {
-            self.store.record_answer(began);
+            self.store.record_answer(started_at);
         }
-        self.record_read("probe", &outcome, began);
+        self.record_read("probe", &outcome, started_at);
     }
 
-    fn record_read<T>(&self, kind: &'static str, outcome: &Result<T, ReadError>, began: Millis) {
+    fn record_read<T>(
+        &self,
+        kind: &'static str,
+        outcome: &Result<T, ReadError>,
+        started_at: Millis,
+    ) {
         let result = match outcome {
             Ok(_) => "ok",
             Err(ReadError::Gone { .. }) => "gone",
             Err(ReadError::Unavailable(_)) => "refused",
             Err(ReadError::Malformed(_)) => "malformed",
         };
-        self.record_store_call(kind, result, began);
+        self.record_store_call(kind, result, started_at);
     }
 
     /// Records that a call has been unanswered for so long that the store may be unavailable.
@@ -388,13 +393,14 @@
         self.update_store_health(kind, "in_doubt");
     }
 
-    fn record_store_call(&self, kind: &'static str, result: &'static str, began: Millis) {
-        let ended = now();
-        self.metrics.store_call(kind, result, ended.since(began));
+    fn record_store_call(&self, kind: &'static str, result: &'static str, started_at: Millis) {
+        let ended_at = now();
+        self.metrics
+            .store_call(kind, result, ended_at.since(started_at));
         if matches!(result, "refused" | "in_doubt") {
-            self.store.last_failure_at.set(ended);
+            self.store.last_failure_at.set(ended_at);
         } else {
-            self.store.last_answer_at.set(ended);
+            self.store.last_answer_at.set(ended_at);
         }
         self.update_store_health(kind, result);
     }
@@ -405,10 +411,10 @@
     /// only when it has answered nothing for a while and a call has failed since.
     pub(crate) fn update_store_health(&self, kind: &'static str, result: &'static str) {
         let answered_at = self.store.last_answer_at.get();
-        let failed_since = self.store.last_failure_at.get() > answered_at;
+        let has_failed_since = self.store.last_failure_at.get() > answered_at;
         let silent_ms = now().since(answered_at);
         let answers =
-            !(failed_since && silent_ms > self.store.latency_timeout_ms(UNAVAILABLE_AFTER_MS));
+            !(has_failed_since && silent_ms > self.store.latency_timeout_ms(UNAVAILABLE_AFTER_MS));
         if self.store.answers.replace(answers) != answers {
             log::store_health(answers, kind, result, silent_ms);
             self.submissions.decide_soon();
--- a/crates/cell/src/submissions.rs
+++ b/crates/cell/src/submissions.rs
@@ -48,7 +48,7 @@
     /// The record is not in the store and never will be.
     Refused {
         /// Time after which the caller should retry.
-        come_back_ms: u64,
+        retry_after_ms: u64,
     },
     /// The record may be in the store, or may still be stored.
     InDoubt,
@@ -56,7 +56,7 @@
 
 /// Final outcome of a record, sent to the task that waits for it.
 #[derive(Debug, Clone, Copy)]
-struct Settlement {
+struct Completion {
     outcome: Outcome,
     /// Whether the scheduler already knows the record.
     is_known_to_scheduler: bool,
@@ -77,7 +77,7 @@
 struct PendingRecord {
     record: Record,
     is_known_to_scheduler: bool,
-    reply: oneshot::Sender<Settlement>,
+    reply: oneshot::Sender<Completion>,
 }
 
 impl SubmissionQueue {
@@ -132,12 +132,12 @@
         let Some(pending) = self.records.borrow_mut().remove(key) else {
             return;
         };
-        let settled = Settlement {
+        let completion = Completion {
             outcome,
             is_known_to_scheduler: pending.is_known_to_scheduler,
         };
         // A caller that has disconnected needs no answer.
-        let _abandoned = pending.reply.send(settled);
+        let _abandoned = pending.reply.send(completion);
     }
 }
 
@@ -176,21 +176,23 @@
             .admission
             .borrow_mut()
             .offer(record.size(), deadline);
-        let settled = self.await_outcome(key, record.clone()).await;
-        match settled.outcome {
+        let completion = self.await_outcome(key, record.clone()).await;
+        match completion.outcome {
             Outcome::Stored { partition } => {
-                if !settled.is_known_to_scheduler {
+                if !completion.is_known_to_scheduler {
                     let node = Rc::clone(self);
                     actix_rt::spawn(async move { node.notify_scheduler(partition, record).await });
                 }
                 StoreOutcome::Stored
             }
-            Outcome::Refused { come_back_ms } => StoreOutcome::Refused { come_back_ms },
+            Outcome::Refused { come_back_ms } => StoreOutcome::Refused {
+                retry_after_ms: come_back_ms,
+            },
             Outcome::InDoubt => StoreOutcome::InDoubt,
         }
     }
 
-    async fn await_outcome(self: &Rc<Self>, key: RecordKey, record: Record) -> Settlement {
+    async fn await_outcome(self: &Rc<Self>, key: RecordKey, record: Record) -> Completion {
         let (reply, answer) = oneshot::channel();
         let pending = PendingRecord {
             record,
@@ -199,7 +201,7 @@
         };
         self.submissions.records.borrow_mut().insert(key, pending);
         self.decide_admission();
-        answer.await.unwrap_or(Settlement {
+        answer.await.unwrap_or(Completion {
             outcome: Outcome::InDoubt,
             is_known_to_scheduler: false,
         })
@@ -242,8 +244,8 @@
             .admission
             .borrow_mut()
             .offer_of_other(record.size(), deadline);
-        let settled = self.await_outcome(key, record.clone()).await;
-        match settled.outcome {
+        let completion = self.await_outcome(key, record.clone()).await;
+        match completion.outcome {
             Outcome::Stored { partition } => {
                 let leader = self.leader();
                 if let Some(leader) = &leader {
@@ -306,8 +308,8 @@
                 Action::Answer { record, outcome } => queue.answer(record, outcome),
             }
         }
-        let next_at = queue.admission.borrow().next_at(now());
-        queue.set_due(next_at);
+        let due_at = queue.admission.borrow().next_at(now());
+        queue.set_due(due_at);
     }
 
     async fn append_batch(self: Rc<Self>, append: AppendKey, partition: u32, records: Vec<Record>) {
@@ -325,14 +327,14 @@
 
     /// Relays a record to the scheduler's node.
     async fn relay_record(self: Rc<Self>, key: RecordKey, timeout_ms: u64) {
-        let began = now();
+        let started_at = now();
         let link = self.link.borrow().clone();
         let record = self.submissions.clone_records(&[key]).pop();
         let handed_over = match (link, record) {
             (Some(link), Some(record)) => self.send_relay(&link, key, record, timeout_ms).await,
             _ => HandedOver::NotSent,
         };
-        let took_ms = now().since(began);
+        let took_ms = now().since(started_at);
         self.submissions
             .admission
             .borrow_mut()
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -10,7 +10,7 @@
 use syc_cell::ports::OrderError;
 use syc_cell::ports::PaceCommand;
 use syc_cell::ports::Renewal;
-use syc_cell::ports::Renewed;
+use syc_cell::ports::RenewalReply;
 use syc_cell::ports::StartCommand;
 use syc_cell::ports::StopCommand;
 use syc_sched::RunningReport;
@@ -287,7 +287,7 @@
         id: &WorkerId,
         renewal: &Renewal,
         now: Millis,
-    ) -> Result<Renewed, OrderError> {
+    ) -> Result<RenewalReply, OrderError> {
         self.advance(now);
         let worker = self.workers.get_mut(id).ok_or(OrderError::Replaced)?;
         worker.check_token(renewal.token)?;
@@ -317,11 +317,11 @@
                 load: live.sharing.tail_ms(&self.tails, disturbs_cpu_millis),
             });
         }
-        Ok(Renewed {
+        Ok(RenewalReply {
             clock_ms: worker.clock_ms(now),
             born_ms: Some(worker.started_at.0),
             report,
-            ..Renewed::default()
+            ..RenewalReply::default()
         })
     }
 
--- a/crates/fleet/src/shared/calls.rs
+++ b/crates/fleet/src/shared/calls.rs
@@ -3,7 +3,7 @@
 use smol_str::SmolStr;
 use syc_cell::pause;
 use syc_cell::ports::OrderError;
-use syc_cell::ports::Renewed;
+use syc_cell::ports::RenewalReply;
 use syc_cell::ports::Topic;
 use syc_types::WorkerId;
 
@@ -44,13 +44,13 @@
     }
 
     /// Makes the answer of a worker tell an odd clock, where it is to.
-    pub(super) fn spoil_clock(&self, worker: &WorkerId, renewed: Renewed) -> Renewed {
+    pub(super) fn spoil_clock(&self, worker: &WorkerId, renewed: RenewalReply) -> RenewalReply {
         let mut state = self.lock();
         if !state.faults.odd_clocks.contains(worker) {
             return renewed;
         }
         state.odd_clocks_read += 1;
-        Renewed {
+        RenewalReply {
             clock_ms: u64::MAX,
             ..renewed
         }
--- a/crates/fleet/src/shared/ports.rs
+++ b/crates/fleet/src/shared/ports.rs
@@ -21,7 +21,7 @@
 use syc_cell::ports::Record;
 use syc_cell::ports::RecordFormats;
 use syc_cell::ports::Renewal;
-use syc_cell::ports::Renewed;
+use syc_cell::ports::RenewalReply;
 use syc_cell::ports::StartCommand;
 use syc_cell::ports::StopCommand;
 use syc_cell::ports::Store;
@@ -179,7 +179,7 @@
         worker: &WorkerAddress,
         renewal: &Renewal,
         timeout_ms: u64,
-    ) -> Result<Renewed, OrderError> {
+    ) -> Result<RenewalReply, OrderError> {
         *self.lock().renewals.entry(worker.id.clone()).or_default() += 1;
         self.reach_worker(&worker.id, timeout_ms).await?;
         let began = now();
--- a/crates/sched/tests/takeovers/world.rs
+++ b/crates/sched/tests/takeovers/world.rs
@@ -9,7 +9,7 @@
 use smol_str::SmolStr;
 use syc_cell::ports::OrderError;
 use syc_cell::ports::Renewal;
-use syc_cell::ports::Renewed;
+use syc_cell::ports::RenewalReply;
 use syc_cell::ports::StartCommand;
 use syc_cell::ports::StopCommand;
 use syc_fleet::Fault;
@@ -457,7 +457,7 @@
     }
 
     /// Says whether an answer of a worker gets lost: it may be the first in which the successor would hear of an end.
-    fn is_lost(&mut self, token: u64, renewed: &Renewed) -> bool {
+    fn is_lost(&mut self, token: u64, renewed: &RenewalReply) -> bool {
         if token == 1 || self.has_told_end || renewed.report.ended.is_empty() {
             return false;
         }
