--- a/crates/cell/src/claims.rs
+++ b/crates/cell/src/claims.rs
@@ -87,7 +87,7 @@
                 }
                 claims.position = Some(newest.read_from);
             }
-            Err(_noted) => pause(RETRY_MS).await,
+            Err(_recorded) => pause(RETRY_MS).await,
         }
         return;
     };
@@ -106,7 +106,7 @@
             claims.position = Some(offset);
         }
         Some(Err(ReadError::Gone { .. })) => claims.position = None,
-        Some(Err(_noted)) => pause(RETRY_MS).await,
+        Some(Err(_recorded)) => pause(RETRY_MS).await,
         None => {}
     }
 }
--- a/crates/cell/src/records.rs
+++ b/crates/cell/src/records.rs
@@ -328,8 +328,8 @@
     }
     let advice = spec.policy.advice?;
     let is_time = |time_ms: f64| (0.0..=ADVICE_LIMIT_MS).contains(&time_ms);
-    let sound = is_time(advice.decision_ms) && is_time(advice.per_worker_ms);
-    (!sound).then(|| "the expected time of an advice call exceeds one day".to_owned())
+    let is_valid = is_time(advice.decision_ms) && is_time(advice.per_worker_ms);
+    (!is_valid).then(|| "the expected time of an advice call exceeds one day".to_owned())
 }
 
 /// Reason why a progress record can't be decoded.
--- a/crates/cell/tests/cell/fuzz.rs
+++ b/crates/cell/tests/cell/fuzz.rs
@@ -46,15 +46,15 @@
 const JOB: u64 = 0x0a0b_0c0d_0e0f_0001;
 
 /// Runs a decoder on each kind of generated input.
-fn fuzz<T, F>(sound: &[Vec<u8>], read: F)
+fn fuzz<T, F>(valid: &[Vec<u8>], read: F)
 where
     T: PartialEq + std::fmt::Debug,
     F: Fn(&[u8]) -> Option<T>,
 {
     any_bytes(&read);
-    changed_bytes(sound, &read);
-    changed_fields(sound, &read);
-    later_fields(sound, false, &read);
+    changed_bytes(valid, &read);
+    changed_fields(valid, &read);
+    later_fields(valid, false, &read);
 }
 
 fn record(key: &str, value: &[u8]) -> Record {
@@ -181,8 +181,8 @@
         workers: vec![worker(0), worker(1)],
     };
     let parts = records::roster(&roster);
-    let sound: Vec<_> = parts.iter().map(|part| part.value.to_vec()).collect();
-    fuzz(&sound, read_roster);
+    let valid: Vec<_> = parts.iter().map(|part| part.value.to_vec()).collect();
+    fuzz(&valid, read_roster);
 }
 
 fn read_roster(value: &[u8]) -> Option<Vec<WorkerSpec>> {
@@ -270,20 +270,20 @@
             partition: 3,
         }),
     ];
-    let sound = bodies.map(|body| CellMessage::encoded(body).to_vec());
+    let valid = bodies.map(|body| CellMessage::encoded(body).to_vec());
     let read = |frame: &[u8]| CellMessage::decoded(frame).ok();
     any_bytes(read);
-    changed_bytes(&sound, read);
-    frames_with_an_unknown_field(&sound, read);
+    changed_bytes(&valid, read);
+    frames_with_an_unknown_field(&valid, read);
 }
 
 /// Checks that a decoder ignores an unknown string field (number 100), as a later version may add one.
-fn frames_with_an_unknown_field<T, F>(sound: &[Vec<u8>], read: F)
+fn frames_with_an_unknown_field<T, F>(valid: &[Vec<u8>], read: F)
 where
     T: PartialEq + std::fmt::Debug,
     F: Fn(&[u8]) -> Option<T>,
 {
-    for frame in sound {
+    for frame in valid {
         let mut later = frame.clone();
         prost::encoding::string::encode(100, &"later".to_owned(), &mut later);
         assert_eq!(read(&later), read(frame));
@@ -317,7 +317,7 @@
             ..RunRequest::default()
         }),
     ];
-    let sound = bodies.map(|body| Message::new(3, body).to_bytes().to_vec());
+    let valid = bodies.map(|body| Message::new(3, body).to_bytes().to_vec());
     let read = |frame: &[u8]| {
         let (epoch, body) = Message::from_bytes(Bytes::copy_from_slice(frame)).ok()?;
         if let Body::Submit(submit) = &body {
@@ -326,6 +326,6 @@
         Some((epoch, body))
     };
     any_bytes(read);
-    changed_bytes(&sound, read);
-    frames_with_an_unknown_field(&sound, read);
+    changed_bytes(&valid, read);
+    frames_with_an_unknown_field(&valid, read);
 }
