--- a/crates/cell/src/settings.rs
+++ b/crates/cell/src/settings.rs
@@ -25,7 +25,7 @@
     pub name: SmolStr,
     /// Address on which it accepts calls from other nodes.
     pub peer_address: SocketAddr,
-    /// Longest lease that workers accept.
+    /// Longest lease that workers grant.
     pub lease_limit_ms: u64,
     /// Longest time that a worker needs to stop a run.
     pub stop_limit_ms: u64,
@@ -100,7 +100,7 @@
     pub renewal_slack_ms: u64,
     /// Timeout after which an unanswered start or stop order is sent again.
     pub order_timeout_ms: u64,
-    /// Interval of periodic checks.
+    /// Interval at which changes that only depend on time are checked.
     pub tick_interval_ms: u64,
     /// Time after which a refused caller is asked to retry.
     pub retry_after_ms: u64,
@@ -140,7 +140,7 @@
 }
 
 impl NodeSettings {
-    /// Returns the lease of a run, limited to what workers accept.
+    /// Returns the lease of a run, limited to what workers grant.
     #[must_use]
     pub fn lease_ms(&self) -> u64 {
         self.timing.lease_ms.min(self.lease_limit_ms)
@@ -148,8 +148,8 @@
 
     /// Returns the delay that lets nodes with faster links claim first.
     ///
-    /// A new scheduler reads the state of its predecessor. This saturates a slow link, so that other nodes can't reach
-    /// the scheduler and suspect it to have failed.
+    /// A new scheduler reads the state of its predecessor. Over a slow link, other nodes can't reach it in the meantime
+    /// and would suspect it to have failed.
     #[must_use]
     pub fn claim_delay_ms(&self) -> u64 {
         if self.link_mbps < FAST_LINK_MBPS {
