--- a/crates/cell/src/claims.rs
+++ b/crates/cell/src/claims.rs
@@ -295,7 +295,7 @@
     if let Some(leader) = leader
         && own.is_none_or(|own| own.token != leader.token)
     {
-        leader.end("another_was_chosen");
+        leader.step_down("another_was_chosen");
     }
     match own {
         Some(own) if node.leader().is_none() => {
--- a/crates/cell/src/contact.rs
+++ b/crates/cell/src/contact.rs
@@ -280,7 +280,7 @@
         key: notice.key.into(),
         value: notice.value,
     };
-    leader.take_job_record(notice.partition, &record);
+    leader.apply_job_record(notice.partition, &record);
     true
 }
 
@@ -289,7 +289,9 @@
     P: Platform,
 {
     let leader = node.leader();
-    let partition = leader.as_ref().map_or(0, |leader| leader.met(contact));
+    let partition = leader
+        .as_ref()
+        .map_or(0, |leader| leader.register_peer(contact));
     // A scheduler that is cut off from the store can't record ended runs. A node that the store answers should replace
     // it without waiting for the full heartbeat timeout.
     let store = node.store_view();
--- a/crates/cell/src/log.rs
+++ b/crates/cell/src/log.rs
@@ -8,8 +8,6 @@
 use syc_obs::Line;
 use syc_obs::catalogue;
 use syc_sched::Counts;
-use syc_sched::Duty;
-use syc_sched::DutyAnswer;
 use syc_sched::JobId;
 use syc_sched::JobSpec;
 use syc_sched::JobState;
@@ -20,11 +18,13 @@
 use syc_sched::StopReason;
 use syc_sched::TaskId;
 use syc_sched::VmNote;
+use syc_sched::VmOperation;
+use syc_sched::VmOrderAnswer;
 use syc_types::WorkerId;
 
 use crate::Configuration;
 use crate::NodeSettings;
-use crate::leader::waits::Waits;
+use crate::leader::retry_report::RetryReport;
 use crate::node::Holder;
 use crate::ports::AdviceError;
 use crate::ports::AppendError;
@@ -152,7 +152,7 @@
 pub(crate) fn takeover_retries<E>(
     token: u64,
     step: &'static str,
-    waits: &Waits,
+    retries: &RetryReport,
     waited_ms: u64,
     error: &E,
 ) where
@@ -161,9 +161,9 @@
     Line::new(catalogue::TAKEOVER_WAITS)
         .number("token", token)
         .text("step", step)
-        .text("topic", waits.topic.as_str())
-        .number("partition", waits.partition)
-        .number("tries", waits.tries)
+        .text("topic", retries.topic.as_str())
+        .number("partition", retries.partition)
+        .number("tries", retries.attempts)
         .number("waited_ms", waited_ms)
         .display("reason", error)
         .emit();
@@ -292,15 +292,15 @@
         .emit();
 }
 
-pub(crate) fn vm_ordered(command: &VmCommand, answer: DutyAnswer, error: Option<&VmOrderError>) {
+pub(crate) fn vm_ordered(command: &VmCommand, answer: VmOrderAnswer, error: Option<&VmOrderError>) {
     let line = Line::new(catalogue::VM_ORDERED)
         .text("vm", command.vm.as_str())
         .text("duty", command.duty.as_str())
         .number("token", command.token)
         .text("answer", answer.as_str());
     let line = match &command.duty {
-        Duty::Upkeep { wave } => line.number("wave", *wave),
-        Duty::Move { pool } => line.text("pool", pool.as_str()),
+        VmOperation::Maintenance { wave } => line.number("wave", *wave),
+        VmOperation::Move { pool } => line.text("pool", pool.as_str()),
     };
     match error {
         Some(error) => line.display("reason", error).emit(),
@@ -356,16 +356,16 @@
             worker,
             crashes,
             alone,
-            there_ms,
+            present_ms,
         } => Line::new(catalogue::TASK_BLAMED)
             .display("job", task.step.job)
             .display("task", task)
             .text("worker", worker.as_str())
             .number("crashes", *crashes)
             .flag("alone", *alone)
-            .number("there_ms", *there_ms)
+            .number("there_ms", *present_ms)
             .emit(),
-        Note::TaskGivenUp { task, crashes } => Line::new(catalogue::TASK_GIVEN_UP)
+        Note::TaskAbandoned { task, crashes } => Line::new(catalogue::TASK_GIVEN_UP)
             .display("job", task.step.job)
             .display("task", task)
             .number("crashes", *crashes)
--- a/crates/cell/src/store_calls.rs
+++ b/crates/cell/src/store_calls.rs
@@ -6,7 +6,7 @@
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
 use smol_str::SmolStr;
-use syc_admit::Pace;
+use syc_admit::LatencyEstimate;
 use syc_types::Millis;
 
 use crate::Node;
@@ -61,10 +61,10 @@
     last_failure_at: Cell<Millis>,
     last_answer_at: Cell<Millis>,
     /// Usual time of an append, except for appends of jobs, which admission tracks.
-    append_latency: Cell<Pace>,
+    append_latency: Cell<LatencyEstimate>,
     /// Usual time of answered calls. Unlike `append_latency`, it ignores unanswered calls, because an
     /// unavailable store is not a slow one.
-    answer_latency: Cell<Pace>,
+    answer_latency: Cell<LatencyEstimate>,
     /// Send time of the most recently sent call that was answered, except for long polls.
     answered_sent_at: Cell<Millis>,
 }
@@ -76,8 +76,8 @@
             answers: Cell::new(true),
             last_failure_at: Cell::new(started_at),
             last_answer_at: Cell::new(started_at),
-            append_latency: Cell::new(Pace::new(INITIAL_APPEND_MS)),
-            answer_latency: Cell::new(Pace::new(0)),
+            append_latency: Cell::new(LatencyEstimate::new(INITIAL_APPEND_MS)),
+            answer_latency: Cell::new(LatencyEstimate::new(0)),
             answered_sent_at: Cell::new(started_at),
         }
     }
@@ -90,32 +90,32 @@
         }
         self.answered_sent_at.set(sent_at);
         let mut latency = self.answer_latency.get();
-        latency.took(now().since(sent_at));
+        latency.record(now().since(sent_at));
         self.answer_latency.set(latency);
     }
 
     /// Returns the timeout of a call that a healthy store answers within `min_ms`.
     fn latency_timeout_ms(&self, min_ms: u64) -> u64 {
-        let by_latency = self.answer_latency.get().usual_ms() * LATENCY_FACTOR;
+        let by_latency = self.answer_latency.get().estimate_ms() * LATENCY_FACTOR;
         by_latency.min(TIMEOUT_MAX_MS).max(min_ms)
     }
 
     fn record_append(&self, sent_at: Millis) {
         self.record_answer(sent_at);
         let mut latency = self.append_latency.get();
-        latency.took(now().since(sent_at));
+        latency.record(now().since(sent_at));
         self.append_latency.set(latency);
     }
 
     fn record_timeout(&self) {
         let mut latency = self.append_latency.get();
-        latency.got_none();
+        latency.record_timeout();
         self.append_latency.set(latency);
     }
 
     /// Returns the usual time of an append.
     const fn append_ms(&self) -> u64 {
-        self.append_latency.get().usual_ms()
+        self.append_latency.get().estimate_ms()
     }
 
     /// Returns the send time of the most recently sent call that was answered, except for long polls.
--- a/crates/sched/tests/core/sharing.rs
+++ b/crates/sched/tests/core/sharing.rs
@@ -53,15 +53,15 @@
 ) -> Option<u8> {
     let mut last = None;
     for _ in 0..times {
-        driver.pass(500);
-        driver.hold_loads(runs.0.worker, &[(runs.0, tail_ms), (runs.1, 4_000)]);
+        driver.advance(500);
+        driver.report_loads(runs.0.worker, &[(runs.0, tail_ms), (runs.1, 4_000)]);
         last = driver.answer_paces(true).or(last);
     }
     last
 }
 
 #[test]
-fn what_fills_takes_no_processor_of_the_room() {
+fn backfill_reserves_no_cpu() {
     let mut driver = Driver::new(1, 4);
     driver.submit(1, policy(0), vec![step(1, 4)]);
     driver.submit(2, policy(1), vec![filling(1, 0)]);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn what_fills_waits_a_while_for_a_worker_with_time_to_spare_and_then_takes_any() {
+fn backfill_waits_for_unused_cpu_and_then_takes_any_worker() {
     let mut driver = Driver::new(2, 4);
     let resources = Resources {
         memory_bytes: 1,
@@ -90,7 +90,7 @@
     driver.submit(2, policy(1), vec![small]);
     driver.schedule();
     assert!(driver.starts.is_empty(), "nothing is left unused");
-    driver.pass(3_500);
+    driver.advance(3_500);
     driver.schedule();
     assert_eq!(driver.starts.len(), 1);
 }
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_tail_near_its_limit_slows_what_fills_and_slack_lets_it_rise_again() {
+fn pace_halves_near_the_tail_limit_and_recovers_with_slack() {
     let (mut driver, shop, crunch) = shared_worker();
     let lowered = report(&mut driver, (&shop, &crunch), 90, 1);
     assert_eq!(lowered, Some(50));
@@ -114,27 +114,27 @@
 }
 
 #[test]
-fn what_fills_alone_goes_at_full_speed() {
+fn backfill_alone_runs_at_full_speed() {
     let (mut driver, shop, crunch) = shared_worker();
     assert_eq!(report(&mut driver, (&shop, &crunch), 150, 4), Some(0));
     driver.cancel(1);
     driver.stop_taken(&shop);
-    driver.pass(1_000);
-    driver.hold_loads(shop.worker, &[(&crunch, 0)]);
+    driver.advance(1_000);
+    driver.report_loads(shop.worker, &[(&crunch, 0)]);
     assert_eq!(driver.answer_paces(true), Some(100));
 }
 
 /// An order without an answer may be carried out after the next one.
 #[test]
-fn a_pace_in_doubt_is_ordered_again_until_no_late_order_can_come() {
+fn in_doubt_pace_is_resent_until_no_late_order_can_arrive() {
     let (mut driver, shop, crunch) = shared_worker();
-    driver.pass(500);
-    driver.hold_loads(shop.worker, &[(&shop, 90), (&crunch, 4_000)]);
+    driver.advance(500);
+    driver.report_loads(shop.worker, &[(&shop, 90), (&crunch, 4_000)]);
     assert_eq!(driver.answer_paces(false), Some(50));
     let mut orders = 0;
     for _ in 0..40 {
-        driver.pass(500);
-        driver.hold_loads(shop.worker, &[(&shop, 75), (&crunch, 4_000)]);
+        driver.advance(500);
+        driver.report_loads(shop.worker, &[(&shop, 75), (&crunch, 4_000)]);
         orders += u32::from(driver.answer_paces(true).is_some());
     }
     assert!((24..=28).contains(&orders), "{orders} orders in 13 s");
@@ -142,7 +142,7 @@
 
 #[test_case(90, Some(50); "near the limit")]
 #[test_case(20, Some(100); "far below the limit")]
-fn a_successor_orders_the_pace_of_what_it_finds(tail_ms: u64, pace: Option<u8>) {
+fn successor_sets_the_pace_of_inherited_runs(tail_ms: u64, pace: Option<u8>) {
     let (before, shop, crunch) = shared_worker();
     let mut driver = Driver::new(0, 0);
     driver.now = before.now;
@@ -151,12 +151,12 @@
     }
     driver.apply(Event::WorkerListed(worker(0, 8)));
     driver.scheduler.begin_recovery(driver.now);
-    driver.hold_loads(driver.workers[0], &[(&shop, tail_ms), (&crunch, 4_000)]);
+    driver.report_loads(driver.workers[0], &[(&shop, tail_ms), (&crunch, 4_000)]);
     assert_eq!(driver.answer_paces(true), pace);
 }
 
 #[test]
-fn the_next_that_fills_goes_where_its_image_disturbs_least() {
+fn backfill_prefers_the_worker_with_least_interference() {
     let mut driver = Driver::new(2, 8);
     let quiet = StepSpec {
         image: SmolStr::new_static("files"),
@@ -180,7 +180,7 @@
     report(&mut driver, (&shop, &beside_shop), 90, 8);
     report(&mut driver, (&files, &beside_files), 20, 8);
     for (done, beside) in [(&beside_shop, &shop), (&beside_files, &files)] {
-        driver.end(done, RunEnd::Done, &[(beside.task, beside.run, 100)]);
+        driver.report_end(done, RunEnd::Done, &[(beside.task, beside.run, 100)]);
     }
     driver.record();
     driver.submit(4, policy(1), vec![filling(1, 4)]);
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn what_fills_is_not_taken_as_stalled() {
+fn paused_backfill_is_not_stalled() {
     let (mut driver, shop, crunch) = shared_worker();
     for _ in 0..40 {
         report(&mut driver, (&shop, &crunch), 150, 1);
