--- a/crates/cell/src/leader/orders.rs
+++ b/crates/cell/src/leader/orders.rs
@@ -132,7 +132,7 @@
             run,
             worker: &link.address.id,
             error,
-            under_way: link.orders_in_flight(),
+            in_flight: link.orders_in_flight(),
             connections_opened: platform.connections_opened_to(&link.address),
         }
     }
