--- a/crates/sched/src/action.rs
+++ b/crates/sched/src/action.rs
@@ -1,4 +1,4 @@
-//! What a scheduler wants done.
+//! Outputs of a scheduler.
 
 use smol_str::SmolStr;
 use syc_types::Millis;
@@ -16,98 +16,98 @@
 /// An order to start a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StartOrder {
-    /// Where.
+    /// The worker.
     pub worker: WorkerKey,
     /// The task.
     pub task: TaskId,
-    /// Which start of it.
+    /// Number of the run.
     pub run: Run,
     /// The job's payload.
     pub payload: SmolStr,
-    /// Proof that the worker may run it; empty where none is needed.
+    /// Ticket that allows the worker to run it; empty if none is needed.
     pub ticket: SmolStr,
-    /// Where it goes on from; empty to begin.
+    /// Checkpoint to resume from; empty to start from the beginning.
     pub checkpoint: SmolStr,
-    /// When it was decided on: the lease that it sets counts from then, however much later it is sent.
+    /// When the start was decided. Its lease counts from then, however much later the order is sent.
     pub decided_at: Millis,
-    /// How often the same order was sent before.
+    /// How often the same order has been sent before.
     pub retries: u32,
-    /// Time since the step could first start.
+    /// Time since the step became ready.
     pub ready_ms: u64,
 }
 
-/// What a scheduler wants done.
+/// An output of the scheduler.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Renew the leases of a worker from now on.
+    /// Start renewing the leases of a worker.
     Attach {
         /// The worker.
         worker: WorkerKey,
-        /// What it says of itself.
+        /// Registration of the worker.
         spec: WorkerSpec,
     },
-    /// Renew the leases of a worker no longer.
+    /// Stop renewing the leases of a worker.
     Detach {
         /// The worker.
         worker: WorkerKey,
     },
     /// Start a run.
     Start(StartOrder),
-    /// End a run, or keep it from ever starting.
+    /// Stop a run, or prevent it from ever starting.
     Stop {
-        /// Where.
+        /// The worker.
         worker: WorkerKey,
         /// The task.
         task: TaskId,
-        /// Which start of it.
+        /// Number of the run.
         run: Run,
-        /// Why, for the log.
+        /// Reason, for the log.
         reason: StopReason,
     },
-    /// Let a run work at a share of its speed.
+    /// Limit a run to a share of its full speed.
     Pace {
-        /// Where.
+        /// The worker.
         worker: WorkerKey,
         /// The task.
         task: TaskId,
-        /// Which start of it.
+        /// Number of the run.
         run: Run,
         /// The share, 0 to 100.
         percent: u8,
     },
-    /// Ask which workers may run a step.
+    /// Call the advice service for the workers that may run a step.
     RequestAdvice {
         /// The step.
         step: StepId,
-        /// The workers to name.
+        /// The workers to name in the call.
         workers: Vec<WorkerKey>,
-        /// Time that the call is expected to be served.
+        /// Expected duration of the call.
         expected_ms: f64,
     },
     /// List the VMs.
     ListVms {
-        /// When that is asked for: the list is as old.
+        /// Time of the request, from which the age of the list is measured.
         asked_at: Millis,
     },
-    /// Do something with a VM.
+    /// Send an order for a VM.
     OrderVm {
         /// The VM.
         vm: VmId,
-        /// What to do.
+        /// The order.
         duty: Duty,
     },
-    /// Tell the operators how far a wave is.
+    /// Report the progress of a maintenance wave to the operators.
     ReportWave {
         /// The wave.
         wave: u64,
-        /// Whether every VM that stays has begun its upkeep.
+        /// Whether maintenance has begun on every VM that stays.
         completed: bool,
     },
-    /// Remove what is kept of a job's specification: its state says all that is still asked.
+    /// Delete the stored specification of a job: only its state can still be queried.
     DropSpec(JobId),
-    /// Remove everything that is kept of a job.
+    /// Delete everything that is stored of a job.
     Forget(JobId),
-    /// Write a line to the log of decisions.
+    /// Write a decision to the log.
     Note(Note),
 }
 
@@ -116,28 +116,28 @@
 pub enum StopReason {
     /// Its job was cancelled or has failed.
     JobEnded,
-    /// Another member of its gang can't run.
+    /// Another member of its gang cannot run.
     GangBroken,
-    /// More urgent work takes its room.
+    /// More urgent work needs its resources.
     Preempted,
     /// It makes no progress.
     Stalled,
-    /// Its worker is about to leave.
+    /// Its worker is draining.
     Draining,
-    /// The scheduler does not want it there.
+    /// The scheduler does not want it to run there.
     Unwanted,
-    /// Its start was not answered.
+    /// Its start order was not answered.
     StartInDoubt,
-    /// Its worker's VM is about to be taken.
+    /// Its worker's VM is about to be taken away.
     Emptying,
-    /// Its worker is slow, and it would end sooner elsewhere.
+    /// Its worker is slow, and it would finish sooner elsewhere.
     Slow,
-    /// It is over: whether its worker takes orders is to be seen.
+    /// The run is over; the order only probes whether the worker accepts orders.
     Probe,
 }
 
 impl StopReason {
-    /// Returns the name for logs.
+    /// Returns the name used in logs.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
--- a/crates/sched/src/counts.rs
+++ b/crates/sched/src/counts.rs
@@ -1,32 +1,32 @@
-//! What a scheduler holds, for metrics.
+//! Counts of a scheduler's jobs, runs and workers, for metrics.
 
 use syc_types::Millis;
 
 use crate::Scheduler;
 use crate::worker::Worker;
 
-/// What a scheduler holds, for metrics.
+/// Counts of a scheduler's jobs, runs and workers, for metrics.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Jobs that have not ended.
     pub open_jobs: usize,
-    /// Tasks that wait for a start.
+    /// Ready tasks waiting to be started.
     pub waiting_tasks: u64,
-    /// Runs that hold room.
+    /// Runs that hold resources on a worker.
     pub runs: usize,
-    /// Workers that may get work.
+    /// Workers that accept new work.
     pub usable_workers: usize,
-    /// Workers whose latest renewal went without an answer.
+    /// Workers that did not answer the latest renewal.
     pub silent_workers: usize,
-    /// Workers that are attached.
+    /// Attached workers.
     pub workers: usize,
-    /// Runs whose latest order has no answer yet: they may run, or not.
+    /// Runs whose latest order has not been answered yet, so that it is unknown whether they run.
     pub doubtful_runs: usize,
-    /// Time for which the oldest of these has been in doubt.
+    /// Time since the oldest unanswered order.
     pub oldest_doubt_ms: u64,
-    /// Time for which the worker that has been silent longest has not answered.
+    /// Longest time for which a silent worker has not answered.
     pub longest_silence_ms: u64,
-    /// Time until the last lease that holds room on a silent worker has surely lapsed.
+    /// Time until the last lease on a silent worker with runs has certainly expired.
     pub longest_lease_ms: u64,
 }
 
@@ -53,7 +53,7 @@
 }
 
 impl Scheduler {
-    /// Returns what a scheduler holds.
+    /// Returns the current counts.
     #[must_use]
     pub fn counts(&self, now: Millis) -> Counts {
         let mut counts = Counts {
--- a/crates/sched/src/event.rs
+++ b/crates/sched/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a scheduler.
+//! Inputs of a scheduler.
 
 use smol_str::SmolStr;
 use syc_types::Millis;
@@ -20,49 +20,49 @@
 use crate::WorkerReport;
 use crate::WorkerSpec;
 
-/// A worker that may run a step, with the proof of it.
+/// A worker that may run a step, with its ticket.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AllowedWorker {
     /// The worker.
     pub worker: WorkerKey,
-    /// What the start order must carry.
+    /// Ticket that the start order must carry.
     pub ticket: SmolStr,
 }
 
-/// What a call for advice came to.
+/// Result of an advice call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AdviceAnswer {
-    /// These of the workers may run the step.
+    /// The call was answered.
     Given {
-        /// The workers that may.
+        /// The workers that may run the step.
         allowed: Vec<AllowedWorker>,
-        /// Time for which the tickets are valid, from when the call was answered.
+        /// Validity of the tickets, from the answer on.
         validity_ms: u64,
     },
-    /// Nothing is known.
+    /// The call failed.
     Failed,
 }
 
-/// What happened.
+/// An input of the scheduler.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// A worker registered, or what it says of itself changed.
+    /// A worker registered, or its registration changed.
     WorkerListed(WorkerSpec),
-    /// A worker is registered no more.
+    /// A worker is no longer registered.
     WorkerUnlisted(WorkerId),
-    /// All that was told where workers register before a time has been read.
+    /// Everything that was registered before a time has been read.
     WorkersRead {
-        /// When that was asked for.
+        /// When the read was requested.
         asked_at: Millis,
     },
-    /// A job is in the store.
+    /// A job has been stored.
     JobStored {
         /// The job.
         spec: Box<JobSpec>,
         /// Time since it was accepted.
         age_ms: u64,
     },
-    /// The cancelling of a job is in the store.
+    /// The cancellation of a job has been stored.
     JobCancelled(JobId),
     /// A worker answered a renewal of its leases.
     Renewed {
@@ -70,10 +70,10 @@
         worker: WorkerKey,
         /// When the renewal was sent.
         sent_at: Millis,
-        /// What it lists.
+        /// The worker's report.
         report: WorkerReport,
     },
-    /// A renewal of leases is about to be sent; it may arrive whether or not it is answered.
+    /// A renewal of leases is about to be sent. It may arrive even if it is not answered.
     Renewing {
         /// The worker.
         worker: WorkerKey,
@@ -83,98 +83,98 @@
         /// The worker.
         worker: WorkerKey,
     },
-    /// Another incarnation of the worker answers at its address: all that ran on this one has ended.
+    /// Another incarnation of the worker answers at its address: everything that ran on this one has ended.
     Replaced {
         /// The worker.
         worker: WorkerKey,
     },
-    /// A later life of the worker answers under its name: all that ran on this one has ended, but what this scheduler
-    /// ordered lately may have reached that one.
+    /// A later incarnation of the worker answers under its name: everything that ran on this one has ended, but
+    /// recent orders of this scheduler may have reached the new one.
     Restarted {
         /// The worker.
         worker: WorkerKey,
     },
-    /// A start order came to something.
+    /// A start order was answered or has failed.
     StartAnswered {
         /// The worker.
         worker: WorkerKey,
         /// The task.
         task: TaskId,
-        /// Which start of it.
+        /// Number of the run.
         run: Run,
-        /// What it came to.
+        /// The result.
         answer: StartAnswer,
     },
-    /// A stop order was answered, or not.
+    /// A stop order was answered or has failed.
     StopAnswered {
         /// The worker.
         worker: WorkerKey,
         /// The task.
         task: TaskId,
-        /// Which start of it.
+        /// Number of the run.
         run: Run,
-        /// Whether the worker took it: the run ends soon, or will never start.
+        /// Whether the worker accepted it: the run ends soon or will never start.
         taken: bool,
     },
-    /// An order to go at a pace was answered, or not.
+    /// An order to change a run's pace was answered or has failed.
     PaceAnswered {
         /// The worker.
         worker: WorkerKey,
         /// The task.
         task: TaskId,
-        /// Which start of it.
+        /// Number of the run.
         run: Run,
-        /// The pace that was ordered.
+        /// The ordered pace.
         percent: u8,
-        /// Whether the worker took it.
+        /// Whether the worker accepted it.
         taken: bool,
     },
-    /// A call for advice came to something.
+    /// An advice call was answered or has failed.
     Advised {
         /// The step.
         step: StepId,
-        /// The workers that were named.
+        /// The workers named in the call.
         asked: Vec<WorkerKey>,
-        /// What it came to.
+        /// The result.
         answer: AdviceAnswer,
     },
-    /// Operators want VMs to have their upkeep.
+    /// Operators published a maintenance wave.
     WavePublished {
-        /// The VMs, and how it is to be done.
+        /// The VMs and the parameters of the wave.
         wave: Wave,
-        /// Time since this node read of it.
+        /// Time since this node read it.
         age_ms: u64,
     },
-    /// The store has taken how far a wave is.
+    /// The progress of a wave has been stored.
     WaveRecorded {
         /// The wave.
         wave: u64,
-        /// Number of the change up to which it was written.
+        /// Number of the latest change that was written.
         change: u64,
     },
-    /// The services whose VMs are off until they are moved to another pool.
+    /// Sets the services whose VMs are powered off until they are moved to another pool.
     StandbySet(Vec<ServiceName>),
-    /// The platform listed the VMs, or did not.
+    /// A request for the list of VMs was answered or has failed.
     VmsListed {
-        /// When the list was asked for.
+        /// When the list was requested.
         asked_at: Millis,
-        /// The list, if it came.
+        /// The VMs; none if the request failed.
         vms: Option<Vec<VmInfo>>,
     },
-    /// An order about a VM came to something.
+    /// An order for a VM was answered or has failed.
     VmOrderAnswered {
         /// The VM.
         vm: VmId,
-        /// What was ordered.
+        /// The order.
         duty: Duty,
-        /// What it came to.
+        /// The result.
         answer: DutyAnswer,
     },
-    /// The store has taken the progress of jobs.
+    /// The progress of jobs has been stored.
     Recorded {
-        /// The jobs, each with the number of the change up to which its progress was written.
+        /// The jobs, each with the number of the latest change that was written.
         jobs: Vec<(JobId, u64)>,
     },
-    /// Time passed.
+    /// Time has passed.
     Ticked,
 }
--- a/crates/sched/src/gang.rs
+++ b/crates/sched/src/gang.rs
@@ -1,4 +1,4 @@
-//! Gangs: all members start at once, or none does.
+//! Gang scheduling: all members start together, or none does.
 
 use syc_types::Millis;
 
@@ -10,22 +10,22 @@
 use crate::units::UnitRef;
 use crate::worker::fits;
 
-/// A ticket that is good for less than this is asked for anew while room is being made.
+/// While a gang waits for capacity to be freed, tickets that are valid for less than this are renewed.
 const MIN_TICKET_VALIDITY_MS: u64 = 300;
 
-/// A gang asks about more workers until those that may run it could hold it so many times: with no bound,
-/// gangs that lack room take all calls for advice.
+/// A gang requests advice about more workers until the total capacity of the allowed ones is this many times
+/// its demand. Without a bound, gangs that lack capacity would use up all advice calls.
 pub(crate) const CANDIDATE_CAPACITY_FACTOR: u32 = 3;
 
-/// Workers for the members of a gang, and how many of them each takes.
+/// Placement of a gang: the workers and the number of members on each.
 #[derive(Debug)]
 struct Plan {
     workers: Vec<(WorkerKey, u32)>,
-    /// Whether running work has to stop first.
+    /// Whether running work has to be preempted first.
     preempts: bool,
 }
 
-/// What a worker can take of a gang.
+/// Number of gang members that a worker can run.
 #[derive(Debug)]
 struct Offer {
     worker: WorkerKey,
@@ -34,7 +34,8 @@
 }
 
 impl Scheduler {
-    /// Starts a gang if all members have room and tickets, and else works towards that.
+    /// Starts a gang if there are capacity and tickets for all members. Otherwise reserves capacity, preempts work
+    /// or requests advice.
     pub(crate) fn schedule_gang(&mut self, job_key: JobKey, step_index: usize, now: Millis) {
         if self.jobs[job_key].steps[step_index].units[0]
             .reservation
@@ -50,7 +51,7 @@
         }
         let candidates = self.gang_candidates(job_key, step_index, now);
         let Some(plan) = self.plan_gang(job_key, step_index, &candidates) else {
-            // More room comes as runs end; more workers are asked about only where it can't be enough.
+            // Ending runs free capacity, so more workers are queried only if that cannot suffice.
             if !self.has_capacity_for_gang(job_key, step_index, &candidates) {
                 self.ask_for_gang(job_key, step_index, now);
             }
@@ -69,7 +70,7 @@
         let Some(reservation) = step.units[0].reservation.clone() else {
             return;
         };
-        let mut has_room = true;
+        let mut has_capacity = true;
         let mut stale = Vec::new();
         for (key, count) in &reservation.workers {
             if !self.may_use_reserved(*key, reservation.isolated, now) {
@@ -77,20 +78,20 @@
                 return;
             }
             let worker = &self.workers[*key];
-            has_room &= !reservation.isolated || !worker.has_probation();
-            has_room &= need.saturating_mul(*count).fits_in(&worker.free());
+            has_capacity &= !reservation.isolated || !worker.has_probation();
+            has_capacity &= need.saturating_mul(*count).fits_in(&worker.free());
             if !self.has_ticket(job_key, step_index, *key, now) {
                 stale.push(*key);
             }
         }
         if !stale.is_empty()
-            || (!has_room
+            || (!has_capacity
                 && !self.tickets_stay_valid(job_key, step_index, &reservation.workers, now))
         {
             let workers: Vec<_> = reservation.workers.iter().map(|(key, _)| *key).collect();
             self.ask_again(job_key, step_index, &workers, now);
         }
-        if has_room && stale.is_empty() {
+        if has_capacity && stale.is_empty() {
             let unit = 0;
             if self.is_announced(UnitRef {
                 job: job_key,
@@ -121,7 +122,7 @@
             .all(|(key, _)| self.has_ticket(job_key, step_index, *key, later))
     }
 
-    /// Says whether the workers that may run a gang have what it takes some times over, if others left.
+    /// Returns whether the total capacity of the candidates, if idle, is a multiple of the gang's demand.
     fn has_capacity_for_gang(
         &self,
         job_key: JobKey,
@@ -141,7 +142,7 @@
         held >= spec.tasks.saturating_mul(CANDIDATE_CAPACITY_FACTOR)
     }
 
-    /// Returns the workers that may run a gang, whether or not their tickets are still good.
+    /// Returns the workers that may run a gang, including those whose tickets have expired.
     fn gang_candidates(&self, job_key: JobKey, step_index: usize, now: Millis) -> Vec<WorkerKey> {
         let job = &self.jobs[job_key];
         let step = &job.steps[step_index];
@@ -210,7 +211,7 @@
         if all < tasks {
             return None;
         }
-        // Few workers with much room keep the gang's risk of losing one small.
+        // Using few workers with much free capacity minimises the risk that the gang loses one.
         offers.sort_by_key(|offer| std::cmp::Reverse((offer.free, offer.with_preemption)));
         let preempts = free < tasks;
         let mut left = tasks;
--- a/crates/sched/src/ids.rs
+++ b/crates/sched/src/ids.rs
@@ -1,4 +1,4 @@
-//! Names of jobs, steps, tasks and runs, and the keys of the scheduler's arenas.
+//! Identifiers of jobs, steps, tasks and runs, and the keys of the scheduler's arenas.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -11,16 +11,16 @@
 use smol_str::format_smolstr;
 
 new_key_type! {
-    /// Refers to a worker in one [`crate::Scheduler`].
+    /// Key of a worker in one [`crate::Scheduler`].
     pub struct WorkerKey;
 
-    /// Refers to a job in one [`crate::Scheduler`].
+    /// Key of a job in one [`crate::Scheduler`].
     pub(crate) struct JobKey;
 }
 
-/// Identifies a job; its submitter chooses it, so that a repeated submit is idempotent.
+/// Identifies a job. The submitter chooses it, which makes a repeated submission idempotent.
 ///
-/// It is written as 16 lower-case hexadecimal digits.
+/// Its text form is 16 lower-case hexadecimal digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(into = "SmolStr", try_from = "SmolStr")]
 pub struct JobId(pub u64);
@@ -37,7 +37,7 @@
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let digits = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
         let lower_case = !text.bytes().any(|byte| byte.is_ascii_uppercase());
-        // An empty text is never a number: it stands for whatever is no identifier.
+        // Parsing the empty string always fails, so it stands in for every malformed identifier.
         let text = if digits && lower_case { text } else { "" };
         u64::from_str_radix(text, 16).map(Self)
     }
@@ -60,11 +60,11 @@
 /// Identifies a step of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct StepId {
-    /// The job.
+    /// The job that the step belongs to.
     pub job: JobId,
-    /// Which time of the job's steps, from 0.
+    /// Occurrence of the job's schedule, from 0.
     pub occurrence: u32,
-    /// Position of the step in the job, from 0.
+    /// Index of the step in the job, from 0.
     pub step: u16,
 }
 
@@ -80,9 +80,9 @@
 /// Identifies a task of a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TaskId {
-    /// The step.
+    /// The step that the task belongs to.
     pub step: StepId,
-    /// Position of the task in the step, from 0.
+    /// Index of the task in the step, from 0.
     pub index: u32,
 }
 
@@ -92,7 +92,7 @@
     }
 }
 
-/// Numbers the starts of a task, from 1; the members of a gang share it.
+/// Number of a start of a task, from 1. The members of a gang share it.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
--- a/crates/sched/src/job.rs
+++ b/crates/sched/src/job.rs
@@ -1,4 +1,4 @@
-//! What a scheduler knows of one job: its steps, and the units that are started together.
+//! In-memory state of a job: its steps and the units that are started together.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -28,35 +28,35 @@
 use crate::progress::UnitProgress;
 use crate::retention::EndStamp;
 
-/// How a unit's run came out.
+/// Outcome of a unit's run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Outcome {
     Done,
     Failed,
-    /// It ended for a reason that is not the unit's fault.
+    /// Ended for a reason that does not count against the unit.
     Interrupted,
 }
 
-/// Where a unit is.
+/// State of a unit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum UnitState {
-    /// It waits for a start.
+    /// Waiting to be started.
     Pending,
-    /// It was started; one worker for each member, none for members not found after a takeover.
+    /// Started, with the worker of each member; none for members not found after a takeover.
     Placed {
         run: Run,
         members: Vec<Option<WorkerKey>>,
     },
-    /// A member has ended, and the others are being stopped.
+    /// A member has ended and the others are being stopped.
     Stopping {
         run: Run,
-        /// Workers of those.
+        /// Workers of the members that have not ended.
         members: Vec<Option<WorkerKey>>,
         outcome: Outcome,
     },
-    /// Its run has ended, and the record of that is under way.
+    /// The run has ended, and that is not confirmed by the store yet.
     Recording { outcome: Outcome, change: u64 },
-    /// It is done, and that is in the store.
+    /// Done, and the store has it.
     Done,
 }
 
@@ -65,39 +65,39 @@
 pub(crate) struct Unit {
     pub(crate) state: UnitState,
     pub(crate) failures: u32,
-    /// Number of its latest start.
+    /// Number of the latest start.
     pub(crate) last_started: Run,
-    /// Number of the latest start whose end was taken into account.
+    /// Number of the latest start whose end has been accounted for.
     pub(crate) last_accounted: Run,
-    /// Number of the latest start that counts as failed.
+    /// Number of the latest start that counted as failed.
     pub(crate) last_failed: Run,
-    /// Number of the latest start that was given up since its lease had surely lapsed.
+    /// Number of the latest start that was abandoned because its lease had certainly expired.
     pub(crate) last_lapsed: Run,
     pub(crate) checkpoint: SmolStr,
-    /// Time that its latest run takes as a whole, at the speed seen.
+    /// Total run time of the latest run, extrapolated from its observed speed.
     pub(crate) expected_run_ms: Option<u64>,
-    /// Times that it was moved off a slow worker.
+    /// Number of times it was moved off a slow worker.
     pub(crate) moves: u32,
-    /// Workers on which it failed; it goes elsewhere where it can.
+    /// Workers to avoid if possible, because it failed on them.
     pub(crate) avoided_workers: Vec<WorkerKey>,
-    /// What its members are suspected of, by their position.
+    /// Worker crashes attributed to its members, by member index.
     pub(crate) blames: BTreeMap<usize, Blame>,
-    /// Where a predecessor started it last.
+    /// Workers of the latest start by a predecessor.
     pub(crate) placed_before: PlacedBefore,
-    /// Room that is kept for it, and until when.
+    /// Capacity reserved for it.
     pub(crate) reservation: Option<Reservation>,
-    /// Whether the store is told where it is about to be started.
+    /// Start that is recorded in the store before it is ordered.
     pub(crate) start_intent: Option<StartIntent>,
 }
 
-/// Room that is kept for a unit until what is in it has ended.
+/// Capacity that is reserved for a unit until the runs that occupy it have ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Reservation {
     pub(crate) workers: Vec<(WorkerKey, u32)>,
     pub(crate) until: Millis,
-    /// Whether workers have crashed under the unit.
+    /// Whether workers have crashed while running the unit.
     pub(crate) suspected: bool,
-    /// Whether the workers take nothing else meanwhile.
+    /// Whether the workers accept no other work meanwhile.
     pub(crate) isolated: bool,
 }
 
@@ -111,12 +111,12 @@
     }
 }
 
-/// A start that the store is told of before it is ordered.
+/// A start that must be in the store before it is ordered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct StartIntent {
-    /// Number of the latest start before it.
+    /// Number of the previous start.
     pub(crate) previous_run: Run,
-    /// Change of the job that tells of it.
+    /// Change of the job that records it.
     pub(crate) change: u64,
 }
 
@@ -140,10 +140,10 @@
         }
     }
 
-    /// Says whether a run on a worker is the one that goes on for a member: runs of one number on several workers
-    /// are different ones.
+    /// Returns whether a run on a worker is the current run of a member. Runs with the same number on different
+    /// workers are different runs.
     ///
-    /// Of a member that was not found after a takeover, the worker is not known.
+    /// The worker of a member that was not found after a takeover is unknown and matches any.
     pub(crate) fn is_placed_at(&self, worker: WorkerKey, member: usize, run: Run) -> bool {
         let UnitState::Placed {
             run: placed,
@@ -155,7 +155,7 @@
         *placed == run && members[member].is_none_or(|at| at == worker)
     }
 
-    /// Says whether it is done, whether or not the store has it yet.
+    /// Returns whether it is done, even if the store does not have that yet.
     pub(crate) const fn is_done(&self) -> bool {
         matches!(
             self.state,
@@ -168,20 +168,20 @@
     }
 }
 
-/// What is known of the workers that may run a step.
+/// Advice received for a step, and the calls for more.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Advice {
-    /// Workers that may, with their ticket and the time that it is good until.
+    /// Workers that may run the step, with their tickets.
     pub(crate) tickets: BTreeMap<WorkerKey, Ticket>,
-    /// Workers that may not.
+    /// Workers that may not run the step.
     pub(crate) denied: BTreeSet<WorkerKey>,
-    /// When the calls under way were made.
+    /// When the pending calls were made.
     pub(crate) asked_at: Option<Millis>,
-    /// Calls under way.
+    /// Calls without an answer yet.
     pub(crate) pending_calls: u32,
-    /// No call before this time.
+    /// Earliest time of the next call.
     pub(crate) not_before: Millis,
-    /// Calls made.
+    /// Calls made so far.
     pub(crate) call_count: u32,
 }
 
@@ -200,16 +200,16 @@
     pub(crate) advice: Advice,
     /// Units that are not done.
     pub(crate) unfinished_units: u32,
-    /// Units that wait for a start.
+    /// Units waiting to be started.
     pub(crate) pending_units: u32,
-    /// Before this time it does not start; none where it may start at once.
+    /// Earliest start time; none if it may start immediately.
     pub(crate) due_at: Option<Millis>,
-    /// When its tasks began to wait.
+    /// When its tasks became ready.
     pub(crate) ready_at: Option<Millis>,
-    /// When a worker crashed last under one of its tasks, until another has been started and did not take its worker
-    /// down.
+    /// When a worker last crashed while running one of its tasks. Cleared once another task has been started and
+    /// its worker has survived it.
     pub(crate) suspected_at: Option<Millis>,
-    /// When the log last told that it waits, and how often it has.
+    /// When the log last reported that it waits, and how often it has done so.
     pub(crate) wait_logged_at: Millis,
     pub(crate) wait_log_count: u32,
 }
@@ -231,12 +231,12 @@
         }
     }
 
-    /// Returns the members of each unit.
+    /// Returns the number of members of each unit.
     pub(crate) const fn members(&self) -> u32 {
         if self.spec.gang { self.spec.tasks } else { 1 }
     }
 
-    /// Returns the unit of a task, and the task's position in it.
+    /// Returns the index of a task's unit and of the task within it.
     pub(crate) fn unit_of(&self, index: u32) -> Option<(usize, usize)> {
         if index >= self.spec.tasks {
             return None;
@@ -249,13 +249,13 @@
         })
     }
 
-    /// Says whether a task's next run goes on from a checkpoint.
+    /// Returns whether the next run of a task resumes from a checkpoint.
     pub(crate) fn resumes_from_checkpoint(&self, index: u32) -> bool {
         let unit = self.unit_of(index).map(|(unit, _)| &self.units[unit]);
         unit.is_some_and(|unit| !unit.checkpoint.is_empty())
     }
 
-    /// Returns the task at a position of a unit.
+    /// Returns the identifier of a unit's member.
     pub(crate) fn task_at(&self, step: StepId, unit: usize, member: usize) -> TaskId {
         let index = if self.spec.gang { member } else { unit };
         TaskId {
@@ -265,39 +265,40 @@
     }
 }
 
-/// One job.
+/// State of a job.
 #[derive(Debug, Clone)]
 pub(crate) struct Job {
     pub(crate) spec: JobSpec,
     pub(crate) steps: Vec<Step>,
-    /// State of the latest change, recorded or not.
+    /// State as of the latest change, whether or not the store has it.
     pub(crate) state: JobState,
-    /// State that may be shown: the store has it.
+    /// State that may be reported to clients, because the store has it.
     pub(crate) visible_state: JobState,
-    /// Changes so far.
+    /// Number of the latest change.
     pub(crate) latest_change: u64,
-    /// Change up to which the store has the progress.
+    /// Number of the latest change that the store has.
     pub(crate) recorded_change: u64,
-    /// When it was accepted, on the scheduler's clock.
+    /// When it was accepted, by the scheduler's clock.
     pub(crate) accepted_at: Millis,
-    /// Objective, from the acceptance on.
+    /// Target time to completion.
     pub(crate) objective_ms: u64,
-    /// Whether a predecessor may have started tasks that are not known.
+    /// Whether a predecessor may have started tasks of it that this scheduler does not know of.
     pub(crate) inherited: bool,
-    /// Its number among the jobs that were added since this scheduler began; 0 for those that it found.
+    /// Sequence number among the jobs added since this scheduler began; 0 for jobs that it restored.
     pub(crate) arrival_number: u64,
-    /// When it ended.
+    /// When it ended, by the scheduler's clock.
     pub(crate) ended_at: Option<Millis>,
-    /// When its end was first written down.
+    /// When its end was first written to a record.
     pub(crate) end_stamp: Option<EndStamp>,
-    /// When its end was shown: from then on it is kept for its time.
+    /// When its end became visible to clients, which starts its retention time.
     pub(crate) end_visible_at: Option<CellTime>,
-    /// Whether some worker has told of a run of it.
+    /// Whether a worker has reported a run of it.
     pub(crate) has_started: bool,
 }
 
 impl Job {
-    /// Makes a job of which nothing has begun. Until the time of day is told, its acceptance tells it.
+    /// Creates a job that has not started. Until the scheduler knows the time of day, due times are derived from
+    /// the acceptance time.
     pub(crate) fn new(spec: JobSpec, accepted_at: Millis, day: Option<DayAnchor>) -> Self {
         let accepted = DayAnchor {
             at: accepted_at,
@@ -327,7 +328,7 @@
         self.spec.id
     }
 
-    /// Takes note that a task of it has begun on a worker.
+    /// Records that a task of it has started on a worker.
     pub(crate) fn mark_started(&mut self) {
         self.has_started = true;
         if self.state == JobState::Queued {
@@ -335,7 +336,7 @@
         }
     }
 
-    /// Takes the time of day for its due times.
+    /// Recomputes the due times from the time of day.
     pub(crate) fn set_wall_clock(&mut self, day: DayAnchor) {
         let steps_per_occurrence = self.spec.steps.len().max(1);
         for (index, step) in self.steps.iter_mut().enumerate() {
@@ -345,7 +346,7 @@
         }
     }
 
-    /// Says whether a step is due, and the steps before it are all done.
+    /// Returns whether a step is due and all steps that it depends on are done.
     pub(crate) fn is_ready(&self, step: usize, now: Millis) -> bool {
         if self.steps[step].due_at.is_some_and(|due_at| due_at > now) {
             return false;
@@ -358,7 +359,7 @@
         })
     }
 
-    /// Returns the position of a step of some occurrence among all steps.
+    /// Returns the index of a step among the steps of all occurrences.
     pub(crate) fn step_index(&self, step: StepId) -> Option<usize> {
         let steps_per_occurrence = self.spec.steps.len();
         let position = usize::from(step.step);
@@ -369,7 +370,7 @@
         (position < steps_per_occurrence && index < self.steps.len()).then_some(index)
     }
 
-    /// Returns the name of the step at a position among all steps.
+    /// Returns the identifier of the step at an index among the steps of all occurrences.
     pub(crate) fn step_id(&self, index: usize) -> StepId {
         let steps_per_occurrence = self.spec.steps.len().max(1);
         StepId {
@@ -379,12 +380,12 @@
         }
     }
 
-    /// Returns the time from which the objective of a step counts.
+    /// Returns the time from which the objective of a step is measured.
     pub(crate) fn objective_from(&self, step: usize) -> Millis {
         self.steps[step].due_at.unwrap_or(self.accepted_at)
     }
 
-    /// Takes over what a predecessor kept of the job.
+    /// Restores the progress that a predecessor stored.
     pub(crate) fn restore(&mut self, progress: &JobProgress) {
         self.state = progress.state;
         self.visible_state = progress.state;
@@ -394,7 +395,7 @@
         }
     }
 
-    /// Returns what is to be kept of the job.
+    /// Returns the progress to store.
     pub(crate) fn progress<N>(&self, name_of: N) -> JobProgress
     where
         N: Fn(WorkerKey) -> Option<WorkerId>,
@@ -421,7 +422,7 @@
     }
 }
 
-/// Makes the steps of all occurrences.
+/// Creates the steps of all occurrences.
 fn expand_steps(spec: &JobSpec, accepted_at: Millis, day: DayAnchor) -> Vec<Step> {
     let mut steps = Vec::new();
     for occurrence in 0..spec.schedule.occurrence_count() {
@@ -503,7 +504,7 @@
     crashes
 }
 
-/// Works out a job's objective from its declared run times.
+/// Computes a job's objective from its declared run times.
 fn objective_ms(spec: &JobSpec) -> u64 {
     let chain_ms = std::time::Duration::from_millis(spec.longest_chain_ms());
     let stretched = chain_ms.mul_f64(spec.policy.stretch.clamp(0.0, 1_000.0));
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -1,17 +1,17 @@
-//! The decision core of a cell: which task runs where, and what is known of it.
+//! The scheduling core of a cell: decides which task runs where and tracks the state of jobs and workers.
 //!
-//! A [`Scheduler`] is a pure state machine: events and the time go in, actions come out. It performs
-//! no I/O, reads no clock and draws no random numbers, so that every failure seen outside can be
-//! played again in a test.
+//! A [`Scheduler`] is a pure state machine: events and the current time go in, actions come out. It performs
+//! no I/O, reads no clock and draws no random numbers, so every failure seen in production can be
+//! reproduced in a test.
 //!
-//! What it rests on, so that a task never runs twice at a time and a worker never gets more than it
-//! has:
+//! Three rules ensure that a task never runs twice at the same time and that a worker is never
+//! overcommitted:
 //!
-//! - every order carries a fencing token, so that a predecessor's orders are refused wherever the
-//!   successor has been heard;
-//! - room is taken from the moment a start is decided until its end is listed, its lease has surely
-//!   lapsed, or another incarnation of the worker answers;
-//! - a change of a job's progress counts only when the store has it.
+//! - every order carries a fencing token, so a worker that has heard from the successor refuses the
+//!   predecessor's orders;
+//! - a run holds its resources from the decision to start it until the worker reports its end, its lease
+//!   has certainly expired, or another incarnation of the worker answers;
+//! - a change of a job's progress takes effect only once the store has it.
 
 mod action;
 mod advice;
--- a/crates/sched/src/note.rs
+++ b/crates/sched/src/note.rs
@@ -1,4 +1,4 @@
-//! The decisions that the log should tell.
+//! Decisions that are written to the log.
 
 use smol_str::SmolStr;
 use syc_types::WorkerId;
@@ -10,157 +10,156 @@
 use crate::TaskId;
 use crate::VmNote;
 
-/// The run of a worker that had been ordered last when the worker was lost.
+/// The most recently started run of a worker that was lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LatestRun {
     /// The task.
     pub task: TaskId,
-    /// Which start of it.
+    /// Number of the run.
     pub run: Run,
-    /// Time for which it was there when the worker last answered: little of one that took its worker down.
+    /// How long it had been on the worker when the worker last answered: short for a run that crashed its worker.
     pub seen_ms: u64,
 }
 
-/// A decision that the log should tell.
+/// A decision that is written to the log.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Note {
-    /// A run has ended, with the evidence for it.
+    /// A run has ended.
     RunEnded {
         /// The task.
         task: TaskId,
-        /// Which start of it.
+        /// Number of the run.
         run: Run,
         /// The worker.
         worker: WorkerId,
-        /// How it ended: a [`RunEnd`] or what was concluded without a report.
+        /// How it ended: the name of a [`RunEnd`](crate::RunEnd) or the reason inferred without a report.
         end: &'static str,
-        /// Failed runs of the unit so far.
+        /// Number of failed runs of the unit so far.
         failures: u32,
-        /// Time since its start was decided, or it was adopted; none where this scheduler did not
-        /// know of it.
+        /// Time since it was started or adopted; none if this scheduler did not know of it.
         held_ms: Option<u64>,
     },
-    /// A run that the predecessor had started goes on.
+    /// A run that the predecessor had started was adopted.
     Adopted {
         /// The task.
         task: TaskId,
-        /// Which start of it.
+        /// Number of the run.
         run: Run,
         /// The worker.
         worker: WorkerId,
     },
-    /// A worker crashed while a task was there that may have taken it down.
+    /// A worker crashed, possibly because of a task that it was running.
     TaskBlamed {
         /// The task.
         task: TaskId,
         /// The worker.
         worker: WorkerId,
-        /// Workers that have crashed under it so far.
+        /// Number of workers that have crashed while running it so far.
         crashes: u32,
-        /// Whether nothing else can be blamed.
+        /// Whether it is the only possible cause.
         alone: bool,
-        /// Time for which it had been there; 0 where nothing told of it.
+        /// How long it had been on the worker; 0 if the worker never reported it.
         present_ms: u64,
     },
-    /// A task, or a gang, is not started again since it takes its workers down.
+    /// A task or gang is not started again because it crashes its workers.
     TaskAbandoned {
-        /// The task; of a gang, the first member.
+        /// The task, or the first member of the gang.
         task: TaskId,
-        /// Workers that crashed under it.
+        /// Number of workers that crashed while running it.
         crashes: u32,
     },
-    /// A job changes no more.
+    /// A job has reached a final state.
     JobEnded {
         /// The job.
         job: JobId,
-        /// Its state, as `JobState` names it.
+        /// Its final state.
         state: crate::JobState,
-        /// Time since it was accepted.
+        /// Time since the job was accepted.
         after_ms: u64,
-        /// Its objective.
+        /// Objective of the job.
         objective_ms: u64,
     },
-    /// A unit waits, and for what.
+    /// A step is waiting.
     Waiting {
         /// The step.
         step: StepId,
-        /// What is lacking.
+        /// What it waits for.
         lacking: &'static str,
-        /// Workers that have what it asks for and may get work.
+        /// Number of workers that meet its requirements and accept work.
         eligible: usize,
-        /// Label that it asks a worker to have; empty for none.
+        /// Label that its workers must have; empty for none.
         required_label: SmolStr,
-        /// Workers that may run it and that tickets are held for.
+        /// Number of workers that may run it, with valid tickets.
         allowed: usize,
-        /// Workers that were asked about and may not run it.
+        /// Number of workers that may not run it, according to advice.
         denied: usize,
-        /// Workers that might run it, with tickets that may be too old.
+        /// Number of workers with tickets, including expired ones.
         known: usize,
-        /// Workers of its service that get nothing new.
+        /// Workers of its service that receive no new work, by reason.
         hindered: Hindered,
-        /// Tasks that wait.
+        /// Number of waiting tasks.
         tasks: u32,
     },
-    /// Something about one worker.
+    /// A note about a worker.
     Worker {
         /// The worker.
         worker: WorkerId,
-        /// What is told of it.
+        /// The note.
         note: WorkerNote,
     },
-    /// Something about whole VMs.
+    /// A note about VMs.
     Vm(VmNote),
-    /// The takeover is complete: nothing that runs is unknown any more.
+    /// The takeover is complete: everything that runs is known.
     Recovered {
-        /// Runs that were adopted.
+        /// Number of adopted runs.
         adopted: usize,
-        /// Workers that never answered.
+        /// Number of workers that never answered.
         unanswered: usize,
     },
 }
 
-/// What the log should tell of a worker.
+/// A log entry about a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WorkerNote {
-    /// A worker is believed unable to run more, or able again.
+    /// The scheduler's assessment of whether the worker can run more has changed.
     StatusChanged {
-        /// What is believed.
+        /// The new assessment.
         status: &'static str,
         /// Time since it last answered.
         silent_ms: u64,
     },
-    /// A worker's runs take longer than others of their steps elsewhere, so that it gets nothing new for
-    /// a while.
+    /// The worker's runs take longer than other runs of their steps elsewhere, so it receives no new work for a
+    /// while.
     Slow {
-        /// How much longer they take, in hundredths.
+        /// How much longer they take, in percent.
         slowness_percent: u64,
-        /// Steps that say so.
+        /// Number of steps for which this was observed.
         steps: usize,
-        /// The step that says least.
+        /// The step with the smallest slowdown.
         least: StepId,
-        /// How much longer by that step, in hundredths.
+        /// Slowdown of that step, in percent.
         least_percent: u64,
     },
-    /// A worker is gone, and what ran on it with it.
+    /// The worker is gone, and everything that ran on it has ended.
     Lost {
-        /// What was concluded of it.
+        /// Why it is considered gone.
         reason: &'static str,
         /// Time since it last answered.
         silent_ms: u64,
-        /// Runs that ended with it.
+        /// Number of runs that ended with it.
         runs: usize,
-        /// The run of these that had been ordered last.
+        /// The most recently started of these runs.
         latest_run: Option<LatestRun>,
     },
-    /// The runs that fill a worker go at another pace.
+    /// The pace of the filling runs on the worker has changed.
     Paced {
-        /// The pace before, 0 to 100.
+        /// Previous pace, 0 to 100.
         before_percent: u8,
-        /// The pace from now on.
+        /// New pace, 0 to 100.
         percent: u8,
-        /// The worst tail of the runs that serve there, as a share of its limit.
+        /// Worst tail latency of the serving runs on the worker, as a percentage of its limit.
         tail_percent: Option<u64>,
-        /// Runs that fill.
+        /// Number of filling runs.
         fills: usize,
     },
 }
--- a/crates/sched/src/orphans.rs
+++ b/crates/sched/src/orphans.rs
@@ -1,8 +1,8 @@
-//! Runs of jobs that have not been read yet.
+//! Orphaned runs: runs reported by workers whose jobs have not been read yet.
 //!
-//! A job can be stored, and started by a predecessor that does not know of its end yet, after a successor has
-//! read that partition of jobs. What a worker tells of such a run waits for the job: taken as a forgotten one's,
-//! its end would be dropped, and the task would run once more.
+//! A job can be stored after a successor has read that partition of jobs, and be started by a predecessor that
+//! has not noticed yet that it was replaced. Reports of such a run are held until the job is read. If the job
+//! were treated as forgotten, the end of the run would be dropped and the task would run again.
 
 use syc_types::Millis;
 
@@ -16,10 +16,10 @@
 use crate::WorkerKey;
 use crate::units::RunTermination;
 
-/// Change that stands for one whose number is not known yet: its end is not acknowledged.
+/// Placeholder for a change whose number is not known yet, so that the end is not acknowledged.
 const UNKNOWN_CHANGE: u64 = u64::MAX;
 
-/// The last that a worker told of a run.
+/// The latest report of a worker about a run.
 #[derive(Debug, Clone)]
 pub(crate) enum RunReport {
     Running(RunningReport),
@@ -42,7 +42,7 @@
     }
 }
 
-/// A run of a job that is not known.
+/// A run whose job is not known.
 #[derive(Debug, Clone)]
 pub(crate) struct OrphanedRun {
     pub(crate) worker: WorkerKey,
@@ -51,13 +51,13 @@
 }
 
 impl Scheduler {
-    /// Takes note that everything that was stored before a time has been read: a job that is not known
-    /// then was forgotten, or never was. Without a call, everything counts as read.
+    /// Records that everything stored before `asked_at` has been read: a job that is still unknown then was
+    /// forgotten or never existed. If it is not called, everything counts as read.
     pub const fn set_jobs_read(&mut self, asked_at: Millis) {
         self.jobs_read_at = asked_at;
     }
 
-    /// Keeps what a worker told of a run if its job may only not have been read yet. Says whether it does.
+    /// Holds a report about a run if its job may not have been read yet. Returns whether it does.
     pub(crate) fn hold_orphan(
         &mut self,
         worker: WorkerKey,
@@ -82,13 +82,13 @@
         true
     }
 
-    /// Says whether a run is of a job that may only not have been read yet.
+    /// Returns whether a run is held because its job may not have been read yet.
     pub(crate) fn is_orphan(&self, task: TaskId, run: Run) -> bool {
         let mut orphans = self.strays.iter();
         orphans.any(|orphan| (orphan.report.task(), orphan.report.run()) == (task, run))
     }
 
-    /// Returns the change that includes an end, once its job is known or surely forgotten.
+    /// Returns the change that covers an end, or [`UNKNOWN_CHANGE`] until its job is known or certainly forgotten.
     pub(crate) fn change_covering_end(&self, job: JobId) -> u64 {
         if let Some(key) = self.job_keys.get(&job) {
             return self.jobs[*key].latest_change;
@@ -100,7 +100,7 @@
         if waits { UNKNOWN_CHANGE } else { 0 }
     }
 
-    /// Takes what was told of the runs of a job that has just been read.
+    /// Applies the held reports about the runs of a job that has just been read.
     pub(crate) fn resolve_orphans(&mut self, id: JobId, now: Millis) {
         let is_of_job = |orphan: &OrphanedRun| orphan.report.task().step.job == id;
         let orphans: Vec<_> = self
@@ -114,14 +114,14 @@
         }
         self.strays.retain(|orphan| !is_of_job(orphan));
         self.jobs[self.job_keys[&id]].inherited = true;
-        // As while taking over: what is told of the job's runs is all that is known of them.
-        let settled = self.recovery.mark_incomplete();
+        // As during a takeover, the reports are all that is known of the job's runs.
+        let was_complete = self.recovery.mark_incomplete();
         for orphan in &orphans {
             self.resolve_orphan(orphan, now);
         }
         self.assign_end_changes(id);
-        self.recovery.restore_completion(settled);
-        if settled {
+        self.recovery.restore_completion(was_complete);
+        if was_complete {
             self.stop_incomplete_gangs(now);
         }
     }
@@ -131,7 +131,7 @@
         self.mark_job_started(task.step.job);
         let worker = self.workers.get(orphan.worker);
         let is_held = worker.is_some_and(|worker| worker.runs.contains_key(&(task, run)));
-        let ending = match &orphan.report {
+        let termination = match &orphan.report {
             RunReport::Running(listed) if is_held => {
                 self.adopt_or_stop(orphan.worker, listed, now);
                 return;
@@ -140,14 +140,22 @@
             RunReport::Ended(ended) => RunTermination::from(ended),
         };
         if worker.is_some() {
-            self.end_run(orphan.worker, task, run, ending, now);
+            self.end_run(orphan.worker, task, run, termination, now);
         } else {
-            let outcome = ending.outcome();
-            self.record_run_end(orphan.worker, task, run, outcome, ending.checkpoint, now);
+            let outcome = termination.outcome();
+            self.record_run_end(
+                orphan.worker,
+                task,
+                run,
+                outcome,
+                termination.checkpoint,
+                now,
+            );
         }
     }
 
-    /// Gives up waiting for the jobs of runs that were told of before all that is stored was read.
+    /// Discards the runs that were reported before the time up to which all jobs have been read: their jobs do not
+    /// exist any more.
     pub(crate) fn discard_orphans(&mut self, now: Millis) {
         let read_at = self.jobs_read_at;
         let (over, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.strays)
@@ -163,7 +171,7 @@
         }
     }
 
-    /// Lets the ends of a job be acknowledged once the store has what followed from them.
+    /// Allows the ends of a job to be acknowledged once the store has the changes that resulted from them.
     fn assign_end_changes(&mut self, job: JobId) {
         let change = self.change_covering_end(job);
         for worker in self.workers.values_mut() {
--- a/crates/sched/src/progress.rs
+++ b/crates/sched/src/progress.rs
@@ -1,4 +1,4 @@
-//! The durable record of a job's progress, one for each job, always written whole.
+//! The durable record of a job's progress. There is one for each job, and it is always written as a whole.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 
 use crate::Run;
 
-/// What a submitter hears of a job.
+/// State of a job as reported to its submitter.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobState {
@@ -20,23 +20,23 @@
     Queued,
     /// Some task has started.
     Running,
-    /// All tasks ended as done.
+    /// All tasks are done.
     Completed,
-    /// A task, or a gang, failed too often.
+    /// A task or gang used up its attempts.
     Failed,
-    /// It was cancelled.
+    /// The job was cancelled.
     Cancelled,
 }
 
 impl JobState {
-    /// Says whether the job changes no more.
+    /// Returns whether this state is final.
     #[must_use]
     pub const fn is_terminal(self) -> bool {
         matches!(self, Self::Completed | Self::Failed | Self::Cancelled)
     }
 }
 
-/// Tells later records of a job from earlier ones, wherever they were written.
+/// Orders the records of a job, across the schedulers that wrote them.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -44,87 +44,88 @@
     /// Fencing token of the scheduler that wrote it.
     #[serde(rename = "t")]
     pub token: u64,
-    /// Number of the change under that scheduler.
+    /// Number of the change, counted by that scheduler.
     #[serde(rename = "c")]
     pub change: u64,
 }
 
-/// What is kept of a job beside what was submitted.
+/// Stored progress of a job.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct JobProgress {
-    /// Of two records of a job, the one with the greater version counts.
+    /// Version; the record with the greatest version is current.
     #[serde(rename = "v")]
     pub version: Version,
-    /// The job's state.
+    /// State of the job.
     pub state: JobState,
     /// Progress of each step; empty once the job has ended.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub steps: Vec<StepProgress>,
-    /// When the job ended, by the clock of the node that wrote it; for people, and for earlier versions.
+    /// When the job ended, by the clock of the node that wrote the record; for display and for earlier versions.
     #[serde(skip_serializing_if = "is_no_day")]
     pub ended_at_ms: TimeOfDay,
-    /// When the job ended, by the cell's own time; none where an earlier version wrote it.
+    /// When the job ended, in cell time; none if an earlier version wrote the record.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub ended_at_cell_ms: Option<CellTime>,
 }
 
-/// What is kept of a step.
+/// Stored progress of a step.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct StepProgress {
     /// Whether every unit is done.
     #[serde(skip_serializing_if = "is_false")]
     pub done: bool,
-    /// Units that have begun, unless the whole step is done.
+    /// Units that have started; empty once the whole step is done.
     #[serde(skip_serializing_if = "BTreeMap::is_empty")]
     pub units: BTreeMap<u32, UnitProgress>,
 }
 
-/// What is kept of a unit: a task, or the whole step where it is a gang.
+/// Stored progress of a unit: a task, or the whole step if it is a gang.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct UnitProgress {
-    /// Whether it ended as done.
+    /// Whether it is done.
     #[serde(rename = "d", skip_serializing_if = "is_false")]
     pub done: bool,
-    /// Runs that failed.
+    /// Number of failed runs.
     #[serde(rename = "f", skip_serializing_if = "is_zero_u32")]
     pub failures: u32,
-    /// Number of its latest start.
+    /// Number of the latest start.
     #[serde(rename = "r", skip_serializing_if = "is_no_run")]
     pub last_started: Run,
-    /// Number of the latest start whose end is in this record.
+    /// Number of the latest start whose end this record accounts for.
     #[serde(rename = "a", skip_serializing_if = "is_no_run")]
     pub last_accounted: Run,
-    /// Number of the latest start that counts as failed.
+    /// Number of the latest start that counted as failed.
     #[serde(rename = "x", skip_serializing_if = "is_no_run")]
     pub last_failed: Run,
-    /// Where it can go on from.
+    /// Checkpoint to resume from; empty for none.
     #[serde(rename = "c", skip_serializing_if = "SmolStr::is_empty")]
     pub checkpoint: SmolStr,
-    /// Workers of its latest start, of each member that has not ended; an empty name for one that has.
+    /// Worker of each member of the latest start; an empty name for a member that has ended.
     #[serde(rename = "w", skip_serializing_if = "Vec::is_empty")]
     pub workers: Vec<WorkerId>,
-    /// Members under which workers crashed.
+    /// Worker crashes attributed to each member.
     #[serde(rename = "k", skip_serializing_if = "BTreeMap::is_empty")]
     pub crashes: BTreeMap<u32, CrashCount>,
 }
 
-/// Workers that crashed under a task, as far as it may have taken them down.
+/// Number of workers that crashed while running a task and may have crashed because of it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct CrashCount {
-    /// All of them.
+    /// Total number of crashed workers.
     #[serde(rename = "n")]
     pub workers: u32,
-    /// Number of the latest start that one crashed under: each counts once, whoever learns of it.
+    /// Number of the latest start during which a worker crashed. It ensures that each crash counts once, whichever
+    /// scheduler learns of it.
     #[serde(rename = "r")]
     pub run: Run,
-    /// Those for which nothing else could be blamed.
+    /// Crashes for which this task is the only possible cause.
     #[serde(rename = "a", skip_serializing_if = "is_zero_u32")]
     pub sole_suspect: u32,
-    /// Whether the task had been on one of them for longer than a start takes to show what it does.
+    /// Whether one of the crashes came after the task had run for longer than it takes a faulty start to show.
     #[serde(rename = "l", skip_serializing_if = "is_false")]
     pub after_startup: bool,
 }
--- a/crates/sched/src/recovery.rs
+++ b/crates/sched/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Taking over: what a predecessor started is found out before anything of it starts again.
+//! Takeover from a predecessor: determines what it started before starting any of that again.
 
 use std::collections::BTreeSet;
 
@@ -13,43 +13,44 @@
 use crate::job::UnitState;
 use crate::units::UnitRef;
 
-/// A predecessor's clock may be slower than this one's by so much within the time that it starts jobs.
+/// Allowance for the drift between a predecessor's clock and this one's during the time in which the
+/// predecessor may still start jobs.
 const CLOCK_SLACK_MS: u64 = 50;
 
-/// How far a takeover is.
+/// Progress of a takeover.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Recovery {
-    /// Workers that may run something unknown.
+    /// Workers that may run something unknown and have not reported yet.
     unreported_workers: BTreeSet<WorkerId>,
-    /// When everything unknown has surely ended.
+    /// When all leases that a predecessor may have set have expired.
     leases_expired_at: Millis,
-    /// When this scheduler was chosen, where that is told.
+    /// When this scheduler was elected, if known.
     elected_at: Option<Millis>,
-    /// When the predecessor surely gives no orders any more.
+    /// When the predecessor's authority to give orders has ended.
     authority_ends_at: Millis,
-    /// When predecessors surely start nothing any more that they learned of since they were fenced off.
+    /// When predecessors no longer start jobs that they learned of after they were fenced off.
     new_job_starts_end_at: Millis,
     begun: bool,
     is_complete: bool,
-    /// Whether some worker never told what ran on it: runs may have been started there that nobody knows of.
+    /// Whether some worker never reported, so unknown runs may have been started on it.
     is_partial: bool,
     pub(crate) adopted: usize,
 }
 
 impl Recovery {
-    /// Takes note that a worker has told what runs on it.
+    /// Records that a worker has reported what runs on it.
     pub(crate) fn worker_reported(&mut self, worker: &WorkerId) {
         self.unreported_workers.remove(worker);
     }
 
-    /// Takes note that nothing can run on a worker any more.
+    /// Records that nothing can run on a worker any more.
     pub(crate) fn worker_gone(&mut self, worker: &WorkerId) {
         let was_waited_for = self.unreported_workers.remove(worker);
         self.is_partial |= was_waited_for;
     }
 
-    /// Says whether a predecessor may have read, and started, a job that comes after all jobs stored before a time
-    /// have been read.
+    /// Returns whether a predecessor may have read and started a job that is read only now, after all jobs stored
+    /// before `jobs_read_at`.
     fn predecessor_may_know(&self, jobs_read_at: Millis, prove: bool) -> bool {
         let over_at = if prove {
             self.new_job_starts_end_at
@@ -59,33 +60,33 @@
         self.begun && jobs_read_at < over_at
     }
 
-    /// Takes it for a moment that something that runs is unknown. Returns whether nothing was.
+    /// Temporarily marks the takeover as incomplete. Returns whether it was complete.
     pub(crate) const fn mark_incomplete(&mut self) -> bool {
         std::mem::replace(&mut self.is_complete, false)
     }
 
-    /// Goes back to what was known before [`Recovery::mark_incomplete`].
-    pub(crate) const fn restore_completion(&mut self, settled: bool) {
-        self.is_complete = settled;
+    /// Restores the state that [`Recovery::mark_incomplete`] returned.
+    pub(crate) const fn restore_completion(&mut self, was_complete: bool) {
+        self.is_complete = was_complete;
     }
 
-    /// Says whether nothing that runs is unknown.
+    /// Returns whether everything that runs is known.
     pub(crate) const fn is_complete(&self) -> bool {
         self.is_complete
     }
 }
 
 impl Scheduler {
-    /// Takes note of when this scheduler was chosen: its predecessor's authority ends a bounded time after that.
-    /// Without a call, it counts from the beginning of the takeover on.
+    /// Sets when this scheduler was elected: its predecessor's authority ends a bounded time after that. If it is
+    /// not called, that time is measured from the beginning of the takeover.
     pub const fn set_elected_at(&mut self, elected_at: Millis) {
         self.recovery.elected_at = Some(elected_at);
     }
 
-    /// Begins the takeover, once the restored jobs and the registered workers are known.
+    /// Begins the takeover, once the stored jobs have been restored and the registered workers are known.
     ///
-    /// Jobs that were restored, or that the predecessor may know all the same, start nothing before every worker
-    /// has told what runs on it, or the leases that a predecessor may have set have lapsed.
+    /// Jobs that were restored, or that the predecessor may know of nevertheless, start nothing until every worker
+    /// has reported what runs on it or all leases that a predecessor may have set have expired.
     pub fn begin_recovery(&mut self, now: Millis) {
         let mut unreported_workers = BTreeSet::new();
         for worker in self.workers.values() {
@@ -96,7 +97,7 @@
         for key in &self.open {
             for step in &self.jobs[*key].steps {
                 for unit in &step.units {
-                    // What of an accounted start is left has been dealt with where its worker is gone.
+                    // Members of an accounted start whose worker is gone need not be waited for.
                     if unit.last_started > unit.last_accounted {
                         let workers = unit.placed_before.workers.iter();
                         unreported_workers.extend(workers.flatten().cloned());
@@ -124,13 +125,13 @@
         self.try_complete_recovery(now);
     }
 
-    /// Says whether the takeover is complete.
+    /// Returns whether the takeover is complete.
     #[must_use]
     pub const fn is_recovered(&self) -> bool {
         self.recovery.is_complete()
     }
 
-    /// Completes the takeover when it can be.
+    /// Completes the takeover if all workers have reported or all leases have expired.
     pub(crate) fn try_complete_recovery(&mut self, now: Millis) {
         let recovery = &mut self.recovery;
         if !recovery.begun || recovery.is_complete {
@@ -151,9 +152,9 @@
         self.expire_unknown_runs(now);
     }
 
-    /// Takes it that a predecessor may have started a job that has just been read, if it may have read it too.
+    /// Marks a job that has just been read as inherited if a predecessor may have read and started it too.
     ///
-    /// Such a job waits as those that were restored do. Started at once, its task ran on two workers.
+    /// Such a job waits like the restored ones. Starting it immediately caused its task to run on two workers.
     pub(crate) fn inherit_if_known_to_predecessor(&mut self, job: JobKey) {
         if self
             .recovery
@@ -163,12 +164,12 @@
         }
     }
 
-    /// Takes the runs as ended that a predecessor may have started where nobody can tell.
+    /// Treats runs that a predecessor may have started on unreachable workers as ended.
     ///
-    /// Their leases have lapsed. A predecessor starts a task again only once the end of its run before is in the
-    /// store, so there is at most one such run of a task, and its number is the one after the latest whose end is
-    /// stored. It is stored as used before the next number is: so no number names two runs, also if this scheduler
-    /// has a successor soon.
+    /// Their leases have expired. A predecessor restarts a task only once the end of its previous run is stored, so
+    /// each task has at most one such run, numbered one above the latest run whose end is stored. That number is
+    /// stored as used before the next one is assigned, so no number refers to two runs even if this scheduler is
+    /// replaced soon.
     fn expire_unknown_runs(&mut self, now: Millis) {
         if !self.recovery.is_partial {
             return;
@@ -179,7 +180,7 @@
         }
     }
 
-    /// Does so for one job, once the takeover is complete.
+    /// Does the same for one job, once the takeover is complete.
     pub(crate) fn expire_unknown_runs_of_job(&mut self, job: JobKey, now: Millis) {
         let is_over = self.recovery.is_complete && self.recovery.is_partial;
         let job_state = &self.jobs[job];
@@ -208,9 +209,9 @@
         self.record_outcome(unit_ref, run, Outcome::Interrupted, now);
     }
 
-    /// Ends the gangs of which not every member was found.
+    /// Stops the gangs of which not every member was found.
     pub(crate) fn stop_incomplete_gangs(&mut self, now: Millis) {
-        let mut torn = Vec::new();
+        let mut incomplete = Vec::new();
         for key in &self.open {
             for (step_index, step) in self.jobs[*key].steps.iter().enumerate() {
                 for (unit_index, unit) in step.units.iter().enumerate() {
@@ -223,12 +224,12 @@
                             step: step_index,
                             unit: unit_index,
                         };
-                        torn.push((unit_ref, *run, members.clone()));
+                        incomplete.push((unit_ref, *run, members.clone()));
                     }
                 }
             }
         }
-        for (unit_ref, run, found) in torn {
+        for (unit_ref, run, found) in incomplete {
             self.stop_gang(unit_ref, run, Outcome::Interrupted, found, now);
         }
     }
--- a/crates/sched/src/reports.rs
+++ b/crates/sched/src/reports.rs
@@ -1,4 +1,4 @@
-//! What the reports of workers change: runs confirmed, ended, lost, adopted or unwanted.
+//! Applies the reports of workers: runs that are confirmed, ended, lost, adopted or unwanted.
 
 use syc_types::Millis;
 use syc_types::WorkerId;
@@ -29,7 +29,7 @@
 use crate::worker::Worker;
 use crate::worker::WorkerRun;
 
-/// The members of a gang that is done have all ended after this time.
+/// Time within which all members of a completed gang end by themselves.
 const GANG_END_GRACE_MS: u64 = 1_000;
 
 impl Scheduler {
@@ -61,13 +61,13 @@
         self.detach_if_idle(key, now);
     }
 
-    /// Lets go of a worker that is registered no more and holds nothing.
+    /// Detaches a worker that is no longer registered and holds no runs.
     pub(crate) fn detach_if_idle(&mut self, key: WorkerKey, now: Millis) {
         let worker = &self.workers[key];
         if worker.listed {
             return;
         }
-        // Whoever said that it leaves, is registered no more and does not answer, has left.
+        // A draining worker that is no longer registered and does not answer has left.
         if worker.spec.draining && worker.silent {
             self.lose_runs(key, "left", now);
         }
@@ -116,7 +116,7 @@
         self.detach(key);
     }
 
-    /// Takes everything that ran on a worker as ended without a result.
+    /// Treats everything that ran on a worker as ended without a result.
     pub(crate) fn lose_runs(&mut self, key: WorkerKey, reason: &'static str, now: Millis) {
         let runs: Vec<_> = self.workers[key].runs.keys().copied().collect();
         if !runs.is_empty() {
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Takes everything that ran on a worker as ended, since its leases have surely lapsed.
+    /// Treats everything that ran on a worker as ended because its leases have certainly expired.
     pub(crate) fn expire_runs(&mut self, key: WorkerKey, now: Millis) {
         let worker = &self.workers[key];
         if worker.silent && !worker.listed && worker.answered {
@@ -164,7 +164,7 @@
         let worker = &mut self.workers[key];
         worker.note_call_answered();
         if !worker.answered && worker.runs.is_empty() {
-            // From its first answer on, it refuses a predecessor's orders.
+            // From its first answer on, the worker refuses a predecessor's orders.
             let bound = now.plus(self.options.lease_bound_ms);
             worker.lapse_at = worker.lapse_at.min(bound);
         }
@@ -177,7 +177,8 @@
         for running in &report.running {
             self.handle_reported_run(key, running, now);
         }
-        // What is not listed may be among the ends that are not: taken as gone, what is done would start again.
+        // A run that is not listed may be among the ends that the report leaves out. If it were presumed lost, a
+        // task that is done would be started again.
         if !report.has_more_ends {
             self.end_missing_runs(key, sent_at, report, now);
             self.recovery.worker_reported(&id);
@@ -186,9 +187,9 @@
         self.judge_slowness(key, now);
     }
 
-    /// Takes note that a worker has told of a run of a job.
+    /// Records that a worker has reported a run of a job.
     ///
-    /// An order alone says nothing: its worker may be cut off, and the job waits all the while.
+    /// An order alone does not count: its worker may be unreachable, and then the job is still waiting.
     pub(crate) fn mark_job_started(&mut self, id: JobId) {
         let Some(key) = self.job_keys.get(&id).copied() else {
             return;
@@ -271,15 +272,15 @@
         let job = &self.jobs[job];
         let same = match &job.steps[step].units[unit].state {
             UnitState::Placed { run: placed, .. } => *placed == run,
-            // The members of a gang that is done end by themselves within moments.
+            // The members of a completed gang soon end by themselves.
             UnitState::Recording { .. } => true,
             _ => false,
         };
         same && !job.state.is_terminal()
     }
 
-    /// Says whether a run belongs to a job that has just completed: the members of a gang end within
-    /// milliseconds of each other, and need no orders to stop.
+    /// Returns whether a run belongs to a job that has just completed. The members of a gang end within
+    /// milliseconds of each other and need not be stopped.
     fn ends_by_itself(&self, task: TaskId, now: Millis) -> bool {
         let Some(key) = self.job_keys.get(&task.step.job) else {
             return false;
@@ -289,10 +290,10 @@
         ended_at.is_some_and(|at| now.since(at) <= GANG_END_GRACE_MS)
     }
 
-    /// Ends the runs that a worker should list and does not.
+    /// Ends the runs that are missing from a worker's report.
     ///
-    /// A report can be older than the answer to an order, so only what the worker knew when the
-    /// renewal was sent counts.
+    /// A report can be older than the answer to an order, so only runs that the worker knew of when the renewal was
+    /// sent are considered.
     fn end_missing_runs(
         &mut self,
         key: WorkerKey,
@@ -323,7 +324,7 @@
         }
     }
 
-    /// Takes over a run that the predecessor started, or stops what nobody wants.
+    /// Adopts a run that the predecessor started, or stops it if it is not wanted.
     pub(crate) fn adopt_or_stop(&mut self, key: WorkerKey, listed: &RunningReport, now: Millis) {
         self.mark_job_started(listed.task.step.job);
         let held = WorkerRun {
@@ -356,8 +357,8 @@
         self.stop_run(key, listed.task, listed.run, StopReason::Unwanted, now);
     }
 
-    /// Returns what is known of a run that this scheduler did not order; of an unknown job, it may
-    /// take the whole worker.
+    /// Creates the state of a run that this scheduler did not order. A run of an unknown job is assumed to use the
+    /// whole worker.
     fn unordered_run(&self, key: WorkerKey, task: TaskId, now: Millis) -> WorkerRun {
         let job = self.job_keys.get(&task.step.job);
         let spec = job.map(|job| &self.jobs[*job].spec);
@@ -378,7 +379,7 @@
         run
     }
 
-    /// Takes the rough figure that a worker gives of a run.
+    /// Stores the approximate load that a worker reports for a run.
     fn update_load(&mut self, key: WorkerKey, listed: &RunningReport) {
         let run = self.workers[key].runs.get_mut(&(listed.task, listed.run));
         match run.map(|run| &mut run.share) {
@@ -392,16 +393,16 @@
         let Some((job_key, step, unit, member)) = self.locate(task) else {
             return false;
         };
-        let settled = self.recovery.is_complete();
+        let recovery_complete = self.recovery.is_complete();
         let job = &mut self.jobs[job_key];
         if job.state.is_terminal() {
             return false;
         }
-        let is_taken_over = job.inherited && !settled;
+        let is_taken_over = job.inherited && !recovery_complete;
         let step = &mut job.steps[step];
         let members = usize::try_from(step.members()).unwrap_or(1);
-        // A single task goes on wherever it is found. Members of a gang do so only while a takeover waits for
-        // the others.
+        // A single task is adopted wherever it is found, members of a gang only while a takeover still waits for
+        // the other members.
         if members > 1 && !is_taken_over {
             return false;
         }
--- a/crates/sched/src/retention.rs
+++ b/crates/sched/src/retention.rs
@@ -1,9 +1,10 @@
-//! For how long a job that has ended is kept: measured by the cell's own time, never by the time of day.
+//! Retention of ended jobs, measured in cell time rather than by the time of day.
 //!
-//! A record of an end says when it was written, in the time for which schedulers of the cell have worked. That
-//! time goes on across takeovers from the latest record, and stands still while no end is written. So what has
-//! ended is kept for its time at least, whatever any clock of the day shows, and at most so many ends are kept
-//! as schedulers can write in that time, however often they change.
+//! Cell time is the time for which the cell's schedulers have been active, and the record of a job's end holds
+//! the cell time at which it was written. After a takeover, cell time continues from the latest such record; the
+//! time since then is not counted. An ended job is therefore retained for at least the retention time whatever
+//! the wall clocks show, and the number of retained jobs is bounded by what schedulers can write in that time,
+//! however often they change.
 
 use std::collections::BTreeSet;
 
@@ -21,26 +22,26 @@
 use crate::Scheduler;
 use crate::job::Job;
 
-/// A job that had ended when this scheduler began.
+/// A job that had ended before this scheduler took over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EndedJob {
-    /// The job.
+    /// Identifier of the job.
     pub id: JobId,
-    /// How it ended.
+    /// Final state.
     pub state: JobState,
-    /// When, by the cell's time; none where an earlier version wrote the record.
+    /// When it ended, in cell time; none if an earlier version wrote the record.
     pub ended_at: Option<CellTime>,
 }
 
-/// When the end of a job was first written down.
+/// When the end of a job was first written to a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct EndStamp {
     pub(crate) cell_time: CellTime,
-    /// For people.
+    /// For display.
     pub(crate) wall_time: TimeOfDay,
 }
 
-/// The cell's time: where predecessors left it, and since when this scheduler counts on.
+/// Clock for cell time: the value that predecessors reached, and when this scheduler started counting.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct CellClock {
     base: CellTime,
@@ -52,16 +53,17 @@
         self.base.plus(now.since(self.started_at))
     }
 
-    /// Returns the point of the steady clock at a time of the cell, as far as its origin.
+    /// Converts a cell time to the scheduler's steady clock, saturating at the clock's origin.
     fn steady_at(self, at: CellTime, now: Millis) -> Millis {
         Millis(now.0.saturating_sub(self.read(now).since(at)))
     }
 }
 
 impl Scheduler {
-    /// Takes over the cell's time, and all jobs that have ended, so that their state can be asked.
+    /// Restores the cell time and all ended jobs, so that their state can be queried.
     ///
-    /// Everything that predecessors wrote must have been read before `now`, and nothing of them can follow.
+    /// Everything that predecessors wrote must have been read before `now`, and predecessors must not be able to
+    /// write any more.
     pub fn restore_ended_jobs(&mut self, ended: &[EndedJob], now: Millis) {
         let stamps: BTreeSet<CellTime> = ended.iter().filter_map(|job| job.ended_at).collect();
         let latest = stamps.last().copied().unwrap_or_default();
@@ -96,7 +98,7 @@
         self.job_keys.insert(ended.id, key);
     }
 
-    /// Removes what is kept of jobs that ended long ago.
+    /// Removes jobs whose retention time is over.
     pub(crate) fn forget_expired_jobs(&mut self, now: Millis) {
         let keep_ms = self.options.status_ms;
         let cell_now = self.cell_clock.read(now);
@@ -121,8 +123,9 @@
     }
 }
 
-/// Returns by when an end was surely shown. A record is made before the store has it, and the next one after
-/// that: until it is there, the end counts as shown only now.
+/// Returns a cell time by which an end was certainly visible. An end becomes visible after its record is
+/// written and before the next one is. Without a later record, its own time is returned, which is the cell time
+/// at which a successor takes over.
 fn visible_by(stamps: &BTreeSet<CellTime>, written_at: CellTime) -> CellTime {
     let later = CellTime(written_at.0.saturating_add(1))..;
     stamps.range(later).next().copied().unwrap_or(written_at)
--- a/crates/sched/src/spec.rs
+++ b/crates/sched/src/spec.rs
@@ -1,4 +1,4 @@
-//! What a submitter asks for, and the policy of the queue that it came through.
+//! The specification of a job and the policy of the queue that it was submitted to.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -9,17 +9,17 @@
 
 use crate::JobId;
 
-/// Most tasks that a step may have.
+/// Maximum number of tasks of a step.
 pub const STEP_TASKS_LIMIT: u32 = 10_000;
 
-/// Most tasks that all steps and occurrences of a job may have together: the other two limits alone would
-/// let one job take gigabytes of a scheduler.
+/// Maximum number of tasks over all steps and occurrences of a job. The other two limits alone would let a
+/// single job use gigabytes of the scheduler's memory.
 pub const JOB_TASKS_LIMIT: u64 = 50_000;
 
-/// Most steps that a job may have.
+/// Maximum number of steps of a job, over all occurrences.
 pub const STEPS_LIMIT: usize = 1_000;
 
-/// One step of a job: equal tasks that become ready together.
+/// One step of a job: identical tasks that become ready together.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 #[expect(
@@ -29,37 +29,37 @@
 pub struct StepSpec {
     /// Number of tasks, at least 1.
     pub tasks: u32,
-    /// What each task asks for.
+    /// Resources that each task requests.
     pub resources: Resources,
-    /// Declared run time of a task; often far off.
+    /// Declared run time of a task. The estimate is often inaccurate.
     pub estimate_ms: u64,
-    /// Earlier steps that must be done before this one starts.
+    /// Indexes of earlier steps that must complete before this one starts.
     pub after: Vec<u16>,
-    /// Whether a task saves its progress and can go on from there.
+    /// Whether a task saves checkpoints and can resume from them.
     pub checkpointed: bool,
-    /// Whether the tasks work only all together.
+    /// Whether the tasks form a gang: all of them run at the same time, or none does.
     pub gang: bool,
-    /// Whether the tasks run until the job is cancelled, and are started again however they end.
+    /// Whether the tasks run until the job is cancelled and are restarted however they end.
     pub long_running: bool,
     /// Whether copies of a task may run at the same time.
     pub speculative: bool,
-    /// Whether the tasks should share a rack.
+    /// Whether to prefer a single rack for all tasks.
     pub same_rack: bool,
     /// Label that a worker must have.
     pub required_label: Option<SmolStr>,
-    /// Rack where the data is; elsewhere the tasks take longer.
+    /// Rack that holds the input data. The tasks take longer on other racks.
     pub data_rack: Option<SmolStr>,
-    /// Most tasks of the step that may run on one worker; no bound where missing.
+    /// Maximum number of the step's tasks on one worker; unlimited if absent.
     pub tasks_per_worker: Option<u32>,
-    /// What the tasks run; tasks of one image behave alike. Empty where it is not told.
+    /// Image that the tasks run; tasks of the same image behave alike. Empty if unknown.
     pub image: SmolStr,
-    /// The tail of the response times that the users of each task see must stay below this.
+    /// Upper bound for the tail latency that the users of each task see.
     pub tail_limit_ms: Option<u64>,
-    /// Whether the tasks get only the processor time that the others on a worker leave unused; what
-    /// they ask for is not counted against the worker then.
+    /// Whether the tasks use only the processor time that other tasks on the worker leave idle. Their CPU
+    /// request is then not counted against the worker.
     pub fills: bool,
-    /// Most tasks that may be out of service at a time through what the scheduler does; no bound
-    /// where missing.
+    /// Maximum number of tasks that the scheduler's own actions may make unavailable at the same time;
+    /// unlimited if absent.
     pub unavailable_limit: Option<u32>,
 }
 
@@ -87,7 +87,7 @@
 }
 
 impl StepSpec {
-    /// Returns what a task takes of a worker's room.
+    /// Returns the resources that a task reserves on its worker.
     #[must_use]
     pub fn reserved_resources(&self) -> Resources {
         if self.fills {
@@ -99,25 +99,25 @@
         self.resources
     }
 
-    /// Returns how many of its tasks one worker may run.
+    /// Returns the maximum number of its tasks on one worker.
     pub(crate) fn max_tasks_per_worker(&self) -> u32 {
         self.tasks_per_worker.unwrap_or(self.tasks).min(self.tasks)
     }
 }
 
-/// What it takes to learn which workers may run a step.
+/// Cost and validity of calls to the advice service, which tells which workers may run a step.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct AdvicePolicy {
-    /// Time that each call takes.
+    /// Fixed duration of a call.
     pub decision_ms: f64,
-    /// Time that each worker named in the call adds.
+    /// Additional duration for each worker named in the call.
     pub per_worker_ms: f64,
-    /// Time that a ticket is valid.
+    /// Validity of a ticket.
     pub validity_ms: u64,
 }
 
 impl AdvicePolicy {
-    /// Returns how long a call for so many workers is served.
+    /// Returns the duration of a call that names this many workers.
     #[must_use]
     pub fn call_ms(&self, workers: usize) -> f64 {
         let workers = u32::try_from(workers).unwrap_or(u32::MAX);
@@ -125,23 +125,23 @@
     }
 }
 
-/// How the jobs of a queue are to be served, as it was when a job was accepted.
+/// Policy of a queue, as it was when the job was accepted.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct QueuePolicy {
     /// Name of the queue.
     pub queue: SmolStr,
-    /// The service whose workers run the tasks.
+    /// Service whose workers run the tasks.
     pub service: ServiceName,
-    /// 0 goes first, and may preempt what has a greater number.
+    /// 0 is the highest priority and may preempt work with a larger number.
     pub priority: u32,
-    /// Failed runs of a task, or of a gang, after which the job has failed.
+    /// Number of failed runs of a task or gang after which the job fails.
     pub attempts_limit: u32,
-    /// Factor of the objective over the longest chain of work.
+    /// Factor of the objective relative to the job's longest chain of steps.
     pub stretch: f64,
-    /// Part of the objective that does not depend on the work.
+    /// Fixed part of the objective.
     pub objective_ms: u64,
-    /// Whether advice is needed before a start, and what it takes.
+    /// Parameters of the advice calls; none if a start needs no advice.
     pub advice: Option<AdvicePolicy>,
 }
 
@@ -159,20 +159,20 @@
     }
 }
 
-/// At which times of day the steps of a job run.
+/// Times at which the steps of a job run.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Schedule {
-    /// How often they run; 0 for once, as soon as possible.
+    /// Number of occurrences; 0 runs the steps once, as soon as possible.
     pub occurrences: u32,
-    /// When the first is due.
+    /// Due time of the first occurrence.
     pub first_at_ms: TimeOfDay,
-    /// Time from one to the next; they may overlap.
+    /// Time between occurrences, which may overlap.
     pub interval_ms: u64,
 }
 
 impl Schedule {
-    /// Returns how often the steps run.
+    /// Returns the number of occurrences, at least 1.
     #[must_use]
     pub const fn occurrence_count(&self) -> u32 {
         if self.occurrences == 0 {
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Returns when an occurrence is due; none for as soon as possible.
+    /// Returns when an occurrence is due; none if it runs as soon as possible.
     #[must_use]
     pub fn due_at(&self, occurrence: u32) -> Option<TimeOfDay> {
         if self.occurrences == 0 {
@@ -193,21 +193,21 @@
     }
 }
 
-/// A job as it was accepted. It is also the form in which it is kept.
+/// A job as it was accepted, in the form in which it is stored.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The job's identity.
+    /// Identifier of the job.
     pub id: JobId,
-    /// Passed to each task as it is.
+    /// Opaque data that is passed to each task.
     pub payload: SmolStr,
-    /// Its steps.
+    /// Steps of one occurrence.
     pub steps: Vec<StepSpec>,
-    /// The policy of its queue.
+    /// Policy of the queue that it was submitted to.
     pub policy: QueuePolicy,
-    /// When its steps run.
+    /// Times at which the steps run.
     #[serde(default)]
     pub schedule: Schedule,
-    /// When it was accepted, by the clock of the node that did.
+    /// When it was accepted, by the clock of the accepting node.
     pub accepted_at_ms: TimeOfDay,
 }
 
@@ -227,35 +227,41 @@
         ends_ms.into_iter().max().unwrap_or(0)
     }
 
-    /// Lists what is wrong with the job, each finding with its place; empty for a sound job.
+    /// Validates the job and returns all violations.
     #[must_use]
     pub fn findings(&self) -> Vec<SpecFinding> {
         let mut findings = Vec::new();
         if self.steps.is_empty() || self.steps.len() > STEPS_LIMIT {
-            findings.push(SpecFinding::new(None, "a job has 1 to 1,000 steps"));
+            findings.push(SpecFinding::new(None, "a job must have 1 to 1,000 steps"));
         }
         let times = usize::try_from(self.schedule.occurrence_count()).unwrap_or(usize::MAX);
         if self.steps.len().saturating_mul(times) > STEPS_LIMIT {
-            let text = "the steps of all occurrences together are 1,000 at most";
+            let text = "all occurrences together must have at most 1,000 steps";
             findings.push(SpecFinding::new(None, text));
         }
         let tasks: u64 = self.steps.iter().map(|step| u64::from(step.tasks)).sum();
         if tasks.saturating_mul(u64::from(self.schedule.occurrence_count())) > JOB_TASKS_LIMIT {
-            let text = "the tasks of all steps and occurrences together are 50,000 at most";
+            let text = "all steps and occurrences together must have at most 50,000 tasks";
             findings.push(SpecFinding::new(None, text));
         }
         for (index, step) in self.steps.iter().enumerate() {
             let place = Some(index);
             if step.tasks == 0 || step.tasks > STEP_TASKS_LIMIT {
-                findings.push(SpecFinding::new(place, "a step has 1 to 10,000 tasks"));
+                findings.push(SpecFinding::new(
+                    place,
+                    "a step must have 1 to 10,000 tasks",
+                ));
             }
             if step.after.iter().any(|after| usize::from(*after) >= index) {
-                findings.push(SpecFinding::new(place, "a step follows earlier steps only"));
+                findings.push(SpecFinding::new(
+                    place,
+                    "a step may depend only on earlier steps",
+                ));
             }
             if step.tasks_per_worker == Some(0) {
                 findings.push(SpecFinding::new(
                     place,
-                    "no worker may run any of the tasks",
+                    "tasks_per_worker must be at least 1",
                 ));
             }
         }
@@ -263,12 +269,12 @@
     }
 }
 
-/// Something that is wrong with a job.
+/// A violation found when validating a job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SpecFinding {
-    /// The step, or none for the job as a whole.
+    /// Index of the step; none for the job as a whole.
     pub step: Option<usize>,
-    /// What is wrong.
+    /// Description of the violation.
     pub text: &'static str,
 }
 
--- a/crates/sched/src/units.rs
+++ b/crates/sched/src/units.rs
@@ -1,4 +1,4 @@
-//! What the end of a run means for its unit: outcomes, failures, gangs that end as a whole.
+//! Applies the end of a run to its unit: outcomes, failure counts and gangs, which end as a whole.
 
 use smol_str::SmolStr;
 use syc_types::Millis;
@@ -19,7 +19,7 @@
 use crate::job::UnitState;
 use crate::worker::Phase;
 
-/// Where a unit is: its job, and the positions of its step and of itself.
+/// Refers to a unit by its job and the indexes of its step and of itself.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct UnitRef {
     pub(crate) job: JobKey,
@@ -27,7 +27,7 @@
     pub(crate) unit: usize,
 }
 
-/// How a run ended, by report or by conclusion.
+/// How a run ended, as its worker reported it or as it was inferred without a report.
 #[derive(Debug, Clone)]
 pub(crate) struct RunTermination {
     pub(crate) reason: &'static str,
@@ -64,18 +64,18 @@
 }
 
 impl Scheduler {
-    /// Ends a run: its room is free, and its unit takes note of the outcome.
+    /// Ends a run: releases its resources and applies the outcome to its unit.
     pub(crate) fn end_run(
         &mut self,
         key: WorkerKey,
         task: TaskId,
         run: Run,
-        ending: RunTermination,
+        termination: RunTermination,
         now: Millis,
     ) {
         let worker = &mut self.workers[key];
         let held = worker.remove(task, run);
-        match ending.end {
+        match termination.end {
             Some(RunEnd::Done) => worker.failures_in_row = 0,
             Some(RunEnd::Failed) => worker.failures_in_row += 1,
             _ => {}
@@ -83,8 +83,8 @@
         let worker_id = worker.spec.id.clone();
         self.quarantine_if_failing(key, now);
         let held_ms = held.as_ref().map(|held| now.since(held.held_since));
-        let outcome = ending.outcome();
-        let mut checkpoint = ending.checkpoint;
+        let outcome = termination.outcome();
+        let mut checkpoint = termination.checkpoint;
         if checkpoint.is_empty() {
             checkpoint = held.map_or_else(SmolStr::default, |held| held.checkpoint);
         }
@@ -94,15 +94,15 @@
             task,
             run,
             worker: worker_id,
-            end: ending.reason,
+            end: termination.reason,
             failures,
             held_ms,
         };
-        // An end is told before what follows from it, such as the end of its job.
+        // Logged before its consequences, such as the end of the job.
         self.actions.insert(noted_at, Action::Note(note));
     }
 
-    /// Tells a unit that a member's run has ended. Returns the unit's failed runs.
+    /// Applies the end of a member's run to its unit. Returns the unit's number of failed runs.
     pub(crate) fn record_run_end(
         &mut self,
         worker: WorkerKey,
@@ -116,15 +116,19 @@
             return 0;
         };
         let job = &mut self.jobs[job_key];
-        // A task that lasts is started again however it ends.
-        let lasts = job.steps[step_index].spec.long_running;
+        // A long-running task is restarted however it ends.
+        let is_long_running = job.steps[step_index].spec.long_running;
         let failed_here = outcome == Outcome::Failed;
-        let outcome = if lasts { Outcome::Interrupted } else { outcome };
+        let outcome = if is_long_running {
+            Outcome::Interrupted
+        } else {
+            outcome
+        };
         let step = &mut job.steps[step_index];
         let unit = &mut step.units[unit_index];
         unit.placed_before.ended(member, run);
-        let is_closing =
-            matches!(unit.state, UnitState::Stopping { run: closing, .. } if closing == run);
+        let is_stopping =
+            matches!(unit.state, UnitState::Stopping { run: stopping, .. } if stopping == run);
         if job.state.is_terminal() {
             return unit.failures;
         }
@@ -137,15 +141,15 @@
             self.complete_unit(unit_ref, worker, member, run, now);
             return self.unit_mut(unit_ref).failures;
         }
-        if run <= unit.last_accounted && !is_closing {
+        if run <= unit.last_accounted && !is_stopping {
             return self.count_late_failure(unit_ref, run, outcome, now);
         }
         unit.last_started = unit.last_started.max(run);
         if !checkpoint.is_empty() {
             unit.checkpoint = checkpoint;
         }
-        // Tasks that last may fail at any time; where one failed says nothing of the next.
-        if failed_here && !lasts && !unit.avoided_workers.contains(&worker) {
+        // A long-running task may fail at any time, so a failure says nothing about its worker.
+        if failed_here && !is_long_running && !unit.avoided_workers.contains(&worker) {
             unit.avoided_workers.push(worker);
         }
         let is_placed = unit.is_placed_at(worker, member, run);
@@ -159,24 +163,24 @@
                     self.stop_gang(unit_ref, run, outcome, others, now);
                 }
             }
-            UnitState::Stopping { members, .. } if is_closing => {
+            UnitState::Stopping { members, .. } if is_stopping => {
                 members[member] = None;
                 self.record_member_end(unit_ref, run, outcome, now);
             }
-            // A predecessor started it, or a copy of an order that was taken as refused: it ran all the same.
+            // The run was started by a predecessor, or by a duplicate of an order that was presumed refused.
             UnitState::Pending => {
                 step.pending_units -= 1;
                 self.record_outcome(unit_ref, run, outcome, now);
             }
-            // Another run of it goes on. Taken for the end of that one, this end had the task run twice.
+            // Another run is still active. Applying this end to that run caused the task to run twice.
             _ => return self.count_late_failure(unit_ref, run, outcome, now),
         }
         self.unit_mut(unit_ref).failures
     }
 
-    /// Takes a unit as done, whichever of its runs was: nothing of it may start once that end is acknowledged.
+    /// Completes a unit, whichever of its runs was done: nothing of it may start once that end is acknowledged.
     ///
-    /// An end that is acknowledged only after the lease has lapsed proves nothing.
+    /// Ignored if the run's lease has already expired: such an end proves nothing.
     fn complete_unit(
         &mut self,
         unit_ref: UnitRef,
@@ -205,8 +209,8 @@
         }
     }
 
-    /// Counts a failure of a run that was taken as ended for another reason: of a gang, the broken
-    /// members can be listed before the failed one. Returns the unit's failed runs.
+    /// Counts a failure of a run whose end was already attributed to another reason: a worker can report the
+    /// broken members of a gang before the failed one. Returns the unit's number of failed runs.
     fn count_late_failure(
         &mut self,
         unit_ref: UnitRef,
@@ -226,9 +230,9 @@
         failures
     }
 
-    /// Begins to end a gang's run, a member of which has ended.
+    /// Stops the remaining members of a gang's run after one of them has ended.
     ///
-    /// The outcome is recorded at once, so that the member's worker may forget the end.
+    /// The outcome is recorded immediately, so that the member's worker can discard the end.
     pub(crate) fn stop_gang(
         &mut self,
         unit_ref: UnitRef,
@@ -249,7 +253,7 @@
         }
     }
 
-    /// Takes the end of a further member into account.
+    /// Applies the end of another member of a gang that is being stopped.
     fn record_member_end(&mut self, unit_ref: UnitRef, run: Run, outcome: Outcome, now: Millis) {
         let unit = self.unit_mut(unit_ref);
         let UnitState::Stopping {
@@ -261,7 +265,7 @@
             return;
         };
         let all_ended = members.iter().all(Option::is_none);
-        // The end of one member breaks the others: the failed one may be listed after them.
+        // The failed member may be reported after the members that its failure broke.
         if outcome == Outcome::Failed && *so_far == Outcome::Interrupted {
             *so_far = Outcome::Failed;
             self.count_outcome(unit_ref, run, outcome);
@@ -292,7 +296,7 @@
         }
     }
 
-    /// Ends the job if a unit of it has failed too often, or surely takes its workers down.
+    /// Fails the job if the unit has used up its attempts or is proven to crash its workers.
     pub(crate) fn fail_if_exhausted(&mut self, unit_ref: UnitRef, now: Millis) -> bool {
         let limit = self.jobs[unit_ref.job].spec.policy.attempts_limit.max(1);
         let unit = self.unit_mut(unit_ref);
@@ -311,7 +315,7 @@
         spent
     }
 
-    /// Notes the outcome of a unit's run; it takes effect once the store has it.
+    /// Records the outcome of a unit's run, which takes effect once the store has it.
     pub(crate) fn record_outcome(
         &mut self,
         unit_ref: UnitRef,
@@ -335,7 +339,7 @@
         }
     }
 
-    /// Stops what still holds room of a run of a unit.
+    /// Stops the members of a unit's run that still hold resources.
     fn stop_members(&mut self, unit_ref: UnitRef, run: Run, reason: StopReason, now: Millis) {
         let step = self.step_id(unit_ref.job, unit_ref.step);
         let step_state = &self.jobs[unit_ref.job].steps[unit_ref.step];
--- a/crates/sched/src/waiting.rs
+++ b/crates/sched/src/waiting.rs
@@ -1,4 +1,4 @@
-//! The steps that wait: in which order they are served, and for what they wait.
+//! Waiting steps: the order in which they are served, and what they wait for.
 
 use syc_types::Millis;
 use syc_types::ServiceName;
@@ -10,22 +10,22 @@
 use crate::StepId;
 use crate::ids::JobKey;
 
-/// A step waits this long before the log tells for what, and again after twice as long each time.
+/// How long a step waits before the log reports why. The interval doubles with each report.
 const WAIT_LOG_INTERVAL_MS: u64 = 1_000;
 
-/// Most times that the wait to the next telling doubles.
+/// Maximum number of times that the interval doubles.
 const WAIT_LOG_DOUBLINGS_LIMIT: u32 = 5;
 
-/// A job earns a part of its worth up to this many times its objective.
+/// A late job is still of partial value up to this many times its objective.
 const EXPIRY_FACTOR: u64 = 3;
 
-/// What a waiting step is ordered by; the least goes first.
+/// Sort key of a waiting step; the least is served first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Urgency {
-    /// Whether the work is of no use any more, however soon it is done.
+    /// Whether completing the work is of no value any more.
     ///
-    /// What is late but still of use keeps its turn: served after all that is not late yet, it would become
-    /// useless while it waits.
+    /// Late work that is still of value keeps its position. If it were served after all work that is not late,
+    /// it would expire while waiting.
     is_expired: bool,
     priority: u32,
     due_at: Millis,
@@ -33,13 +33,13 @@
 }
 
 impl Scheduler {
-    /// Returns the steps that are due and have tasks to start, the most urgent first.
+    /// Returns the steps that are ready and have tasks to start, the most urgent first.
     pub(crate) fn waiting_steps(&mut self, now: Millis) -> Vec<(Urgency, JobKey, usize)> {
         let mut waiting = Vec::new();
-        let settled = self.recovery.is_complete();
+        let recovery_complete = self.recovery.is_complete();
         for key in &self.open {
             let job = &self.jobs[*key];
-            if job.inherited && !settled || !self.is_proved(job.arrival_number, now) {
+            if job.inherited && !recovery_complete || !self.is_proved(job.arrival_number, now) {
                 continue;
             }
             for step in 0..job.steps.len() {
@@ -57,7 +57,7 @@
         waiting
     }
 
-    /// Tells the log now and then for what a step waits.
+    /// Logs at increasing intervals what a step waits for.
     pub(crate) fn log_waiting(&mut self, job_key: JobKey, step_index: usize, now: Millis) {
         let step = &mut self.jobs[job_key].steps[step_index];
         let last = step.ready_at.unwrap_or(now).max(step.wait_logged_at);
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Counts the workers of a service that get nothing new, by the reason.
+    /// Counts the workers of a service that receive no new work, by reason.
     fn hindered(&self, service: &ServiceName, now: Millis) -> Hindered {
         let mut hindered = Hindered::default();
         for worker in self.workers.values() {
@@ -117,7 +117,7 @@
 fn urgency(job: &crate::job::Job, step_index: usize, now: Millis) -> Urgency {
     let step = &job.steps[step_index];
     let (is_expired, due_at) = if step.spec.long_running {
-        // It should run all the time: it is due from the moment at which it does not.
+        // It should always be running, so it is due from the moment it stops.
         (false, step.ready_at.unwrap_or(now))
     } else {
         let from = job.objective_from(step_index);
--- a/crates/sched/tests/core/counts.rs
+++ b/crates/sched/tests/core/counts.rs
@@ -1,16 +1,16 @@
-//! The count of jobs that wait.
+//! The number of waiting jobs.
 //!
-//! Some seconds after all nodes of a cell had been killed, a queue was said to have no waiting jobs, while
-//! five had waited for five seconds. Their first tasks had been ordered from workers that never answered, and
-//! a job counted as begun from the order on. It went on waiting until the worker's lease had surely lapsed.
-//! The log of such a job had its orders, to one silent worker, and no word of a run:
+//! After all nodes of a cell had been killed, a queue reported no waiting jobs while five had been waiting for five
+//! seconds. A job counted as started once its first task had been ordered, even if the worker never answered; it
+//! actually waited until the worker's lease had expired. The log of such a job showed repeated orders to one silent
+//! worker and no run:
 //!
 //! ```text
 //! 13.3323  SYC0724 job seen     job=J
 //! 13.3323  SYC0730 run ordered  task=J/0/0 run=1 worker=W
 //! 13.6423  SYC0730 run ordered  task=J/0/0 run=1 worker=W
 //! 13.9464  SYC0730 run ordered  task=J/0/0 run=1 worker=W
-//! 18.51                         0 jobs are said to wait
+//! 18.51                         0 waiting jobs reported
 //! 21.6609  SYC0725 job decided  state=completed after_ms=8330
 //! ```
 
@@ -27,7 +27,7 @@
 use crate::driver::policy;
 use crate::driver::step;
 
-/// A cell whose only job has been ordered to start on its only worker, which has not answered.
+/// Creates a cell with one worker and one job, whose start has been ordered but not answered.
 fn ordered() -> (Driver, StartOrder) {
     let mut driver = Driver::new(1, 4);
     driver.submit(1, policy(0), vec![step(1, 1)]);
@@ -52,7 +52,7 @@
 #[test]
 fn job_with_unanswered_orders_counts_as_waiting() {
     let (mut driver, order) = ordered();
-    assert_eq!(waiting(&driver), 1, "nothing is known but the order");
+    assert_eq!(waiting(&driver), 1, "only the order is known");
     answer(&mut driver, &order, StartAnswer::InDoubt);
     driver.apply(Event::RenewalFailed {
         worker: order.worker,
@@ -76,7 +76,7 @@
     assert_eq!(successor.state(1), Some(JobState::Queued));
 }
 
-/// How the worker of a run tells of it.
+/// How a worker reports that a run exists.
 #[derive(Debug, Clone, Copy)]
 enum RunEvidence {
     Answered,
@@ -97,8 +97,8 @@
     assert_eq!(waiting(&driver), 0);
 }
 
-/// The record that is written with an order says that the job waits. With none after it, a job that was shown
-/// as running would be shown as queued after a takeover, until its worker answers.
+/// The record written with an order says that the job is queued. If no record followed the start, a job that was
+/// visible as running would be visible as queued after a takeover, until its worker answers.
 #[test]
 fn job_visible_as_running_stays_so_after_takeover() {
     let (mut driver, order) = ordered();
--- a/crates/sched/tests/core/driver.rs
+++ b/crates/sched/tests/core/driver.rs
@@ -1,4 +1,4 @@
-//! Drives a scheduler by hand: workers, jobs and answers as a test says them.
+//! Drives a scheduler event by event, with the workers, jobs and answers that a test specifies.
 
 use std::collections::BTreeMap;
 
@@ -40,10 +40,10 @@
 use syc_types::WorkerId;
 use syc_types::Zone;
 
-/// The service of every worker and job of a test.
+/// The service of every worker and job.
 pub const SERVICE: &str = "intake";
 
-/// A stop that was ordered.
+/// A stop order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Stop {
     pub worker: WorkerKey,
@@ -52,7 +52,7 @@
     pub reason: StopReason,
 }
 
-/// A worker that was lost, and what was on it.
+/// A lost worker and the runs that were on it.
 #[derive(Debug)]
 pub struct Lost {
     pub reason: &'static str,
@@ -60,7 +60,7 @@
     pub latest_run: Option<LatestRun>,
 }
 
-/// A scheduler, the time, and what it wanted done so far.
+/// A scheduler, the current time, and the actions requested so far.
 #[derive(Debug)]
 pub struct Driver {
     pub scheduler: Scheduler,
@@ -69,25 +69,25 @@
     pub starts: Vec<StartOrder>,
     pub stops: Vec<Stop>,
     pub advice_requests: Vec<(StepId, Vec<WorkerKey>)>,
-    /// Paces that were ordered, and not answered yet.
+    /// Pace orders that have not been answered yet.
     pub paces: Vec<(WorkerKey, TaskId, Run, u8)>,
     pub vm_orders: Vec<(VmId, Duty)>,
-    /// When each list of VMs was asked for.
+    /// When each list of VMs was requested.
     pub lists_asked: Vec<Millis>,
-    /// What was believed of workers, in turn.
+    /// Status changes of workers, in order.
     pub status_changes: Vec<(WorkerId, &'static str)>,
-    /// Workers that were lost with what ran on them.
+    /// Workers that were lost while running something.
     pub lost: Vec<Lost>,
-    /// What the store has of each job.
+    /// Progress of each job that the store has.
     pub stored_progress: BTreeMap<JobId, JobProgress>,
-    /// Waves that operators were told of, and whether as completed.
+    /// Maintenance waves reported to the operators, and whether as completed.
     pub wave_reports: Vec<(u64, bool)>,
     ends: BTreeMap<WorkerKey, u64>,
     restarts: usize,
 }
 
 impl Driver {
-    /// Makes a scheduler with `count` workers of so many whole cores, all of which have answered, and have taken
+    /// Creates a scheduler with `count` workers of `cores` cores each, all of which have answered and have accepted
     /// an order.
     pub fn new(count: usize, cores: u64) -> Self {
         let mut driver = Self::with_untried_workers(count, cores);
@@ -107,7 +107,7 @@
         driver
     }
 
-    /// Makes a scheduler with such workers, none of which has been sent an order yet.
+    /// Creates a scheduler with such workers, none of which has been sent an order yet.
     pub fn with_untried_workers(count: usize, cores: u64) -> Self {
         let mut driver = Self {
             scheduler: Scheduler::new(Options::default()),
@@ -192,13 +192,13 @@
         }
     }
 
-    /// Lets the scheduler read all that was told where workers register.
+    /// Reads all worker registrations up to now.
     pub fn read_workers(&mut self) {
         let asked_at = self.now;
         self.apply(Event::WorkersRead { asked_at });
     }
 
-    /// Answers a question of now for the VMs.
+    /// Answers a request for the list of VMs made now.
     pub fn list_vms(&mut self, vms: Option<Vec<VmInfo>>) {
         let asked_at = self.now;
         self.apply(Event::VmsListed { asked_at, vms });
@@ -242,7 +242,7 @@
         self.apply(Event::JobStored { spec, age_ms: 0 });
     }
 
-    /// Lets a successor read a job, with what its predecessor wrote of it.
+    /// Restores a job with the progress that a predecessor stored.
     pub fn restore(
         &mut self,
         id: u64,
@@ -254,7 +254,7 @@
         self.scheduler.restore_job(spec, progress, 10, self.now);
     }
 
-    /// Lets the worker of each start since the last call say that it runs.
+    /// Confirms all starts since the last call and returns them.
     pub fn confirm_starts(&mut self) -> Vec<StartOrder> {
         let starts = std::mem::take(&mut self.starts);
         for start in &starts {
@@ -268,7 +268,7 @@
         starts
     }
 
-    /// Lets the workers answer at once until nothing more starts.
+    /// Schedules and confirms starts until nothing more starts.
     pub fn start_all(&mut self) -> Vec<StartOrder> {
         let mut started = Vec::new();
         loop {
@@ -281,7 +281,7 @@
         }
     }
 
-    /// Lets a worker crash under what was started there last, and another life of it come back.
+    /// Lets a worker crash and another incarnation of it register.
     pub fn crash(&mut self, worker: WorkerKey) {
         let index = self.workers.iter().position(|key| *key == worker);
         self.advance(11);
@@ -297,7 +297,7 @@
         self.record();
     }
 
-    /// Lets the store take what is told it, and the workers answer, until nothing more starts.
+    /// Stores all progress and confirms starts until nothing more starts.
     pub fn settle(&mut self) -> Vec<StartOrder> {
         let mut started = self.start_all();
         self.record();
@@ -310,7 +310,7 @@
         self.apply(Event::JobCancelled(JobId(id)));
     }
 
-    /// Lets the worker of a start take the order to stop it.
+    /// Accepts the order to stop a run.
     pub fn stop_taken(&mut self, start: &StartOrder) {
         self.apply(Event::StopAnswered {
             worker: start.worker,
@@ -320,7 +320,7 @@
         });
     }
 
-    /// Sends renewals that set leases, where they may, and that are not answered yet.
+    /// Sends lease renewals to the workers that may have one, without answering them.
     pub fn renew_leases(&mut self) {
         for worker in self.workers.clone() {
             if self.scheduler.may_renew(worker) {
@@ -329,17 +329,17 @@
         }
     }
 
-    /// Answers a renewal with these runs, none of which has a checkpoint.
+    /// Answers a renewal with running runs that have no checkpoint.
     pub fn report_running(&mut self, worker: WorkerKey, running: &[(TaskId, Run, u8)]) {
         self.report(worker, running, &[]);
     }
 
-    /// Answers a renewal with one end, and the runs that go on.
+    /// Answers a renewal with one ended run and the runs that are still running.
     pub fn report_end(&mut self, start: &StartOrder, end: RunEnd, running: &[(TaskId, Run, u8)]) {
         self.report(start.worker, running, &[(start.task, start.run, end)]);
     }
 
-    /// Answers a renewal with these runs, each with its load.
+    /// Answers a renewal with running runs and their loads.
     pub fn report_loads(&mut self, worker: WorkerKey, running: &[(&StartOrder, u64)]) {
         let mut report = WorkerReport::default();
         for (start, load) in running {
@@ -354,7 +354,7 @@
         self.answer(worker, report);
     }
 
-    /// Answers a renewal of now, a moment later.
+    /// Answers a renewal sent now, 1 ms later.
     fn answer(&mut self, worker: WorkerKey, report: WorkerReport) {
         let sent_at = self.now;
         self.advance(1);
@@ -365,7 +365,7 @@
         });
     }
 
-    /// Answers the paces that were ordered, and returns the last of them.
+    /// Answers the pending pace orders and returns the pace of the last one.
     pub fn answer_paces(&mut self, taken: bool) -> Option<u8> {
         let paces = std::mem::take(&mut self.paces);
         for (worker, task, run, percent) in &paces {
@@ -410,7 +410,7 @@
         self.answer(worker, report);
     }
 
-    /// Answers a renewal with ends that say nothing, and says that there are more.
+    /// Answers a renewal with an empty report that announces further ends.
     pub fn report_some_ends(&mut self, worker: WorkerKey) {
         let report = WorkerReport {
             has_more_ends: true,
@@ -419,7 +419,7 @@
         self.answer(worker, report);
     }
 
-    /// Lets the store take all progress.
+    /// Stores all progress.
     pub fn record(&mut self) {
         let records = self
             .scheduler
--- a/crates/sched/tests/core/lifecycle.rs
+++ b/crates/sched/tests/core/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The life of a job: steps in order, failures, cancelling, and what only counts once it is stored.
+//! Job lifecycle: order of steps, failures, cancellation, and changes that take effect only once they are stored.
 
 use syc_sched::JobState;
 use syc_sched::RunEnd;
@@ -142,14 +142,14 @@
     driver.schedule();
     assert!(
         driver.starts.is_empty(),
-        "the first run still holds the room"
+        "the first run still holds its resources"
     );
     driver.advance(20);
     driver.report_running(started[0].worker, &[(started[0].task, started[0].run, 5)]);
     driver.schedule();
     assert!(
         driver.starts.is_empty(),
-        "the first run still holds the room"
+        "the first run still holds its resources"
     );
     driver.report_end(&started[0], RunEnd::Stopped, &[]);
     driver.schedule();
--- a/crates/sched/tests/core/long_running.rs
+++ b/crates/sched/tests/core/long_running.rs
@@ -1,4 +1,4 @@
-//! Tasks that last, and jobs whose steps run at set times.
+//! Long-running tasks and scheduled occurrences.
 
 use syc_sched::Event;
 use syc_sched::JobSpec;
@@ -83,7 +83,7 @@
     };
     let schedule = Schedule {
         occurrences: 2,
-        // The job is accepted at 0 of the time of day.
+        // The job is accepted at time of day 0.
         first_at_ms: TimeOfDay(5_000),
         interval_ms: 10_000,
     };
@@ -126,8 +126,8 @@
     assert_eq!(driver.starts.len(), 2);
 }
 
-/// The node that accepted the job may have a clock that is seconds ahead or behind: what counts is the
-/// time from its acceptance to the due time, both by that clock.
+/// The accepting node's clock may be seconds ahead or behind: what counts is the time from the acceptance to the due
+/// time, both by that clock.
 #[test_case(0; "a clock far behind")]
 #[test_case(57_600; "a clock 2.4 s behind")]
 #[test_case(60_000; "a clock that is right")]
@@ -157,7 +157,7 @@
     }
 }
 
-/// Tells the driver's scheduler the time of day.
+/// Sets the time of day of the driver's scheduler.
 fn set_day(driver: &mut Driver, day_ms: u64) {
     let day = TimeOfDay(day_ms);
     let at = driver.now;
@@ -166,7 +166,7 @@
 
 const NOON_MS: u64 = 1_790_000_000_000;
 
-/// Whatever clock the node that accepted it had.
+/// The clock of the accepting node has no influence.
 #[test_case(0; "a clock far behind")]
 #[test_case(NOON_MS - 200_000; "a clock 200 s behind")]
 #[test_case(NOON_MS; "a clock that is right")]
@@ -186,7 +186,7 @@
     assert_eq!(driver.starts.len(), 1);
 }
 
-/// A job that waits for hours is due by when it was accepted, and not by a limit on its age at the takeover.
+/// The due time of a job that waits for hours is not limited by the maximum age assumed at a takeover.
 #[test]
 fn takeover_preserves_due_time_of_long_waiting_job() {
     const HOUR_MS: u64 = 3_600_000;
@@ -213,10 +213,10 @@
     assert_eq!(driver.starts.len(), 1);
 }
 
-/// The clocks are set, back or ahead, before an occurrence and after it has run.
-#[test_case(2_000; "by 2 s")]
-#[test_case(200_000; "by 200 s")]
-#[test_case(86_400_000; "by a day")]
+/// The clocks are stepped, forwards or backwards, before an occurrence and after it has run.
+#[test_case(2_000; "step of 2 s")]
+#[test_case(200_000; "step of 200 s")]
+#[test_case(86_400_000; "step of a day")]
 fn clock_step_neither_repeats_nor_skips_an_occurrence(step_ms: u64) {
     for (before_ms, after_ms) in [(0, step_ms), (step_ms, 0)] {
         let mut driver = Driver::new(1, 4);
--- a/crates/sched/tests/core/main.rs
+++ b/crates/sched/tests/core/main.rs
@@ -1,4 +1,4 @@
-//! The decision core, driven by hand: one failure a test.
+//! Tests of the scheduling core, driven event by event. Each test covers one failure.
 
 mod advice;
 mod authority;
--- a/crates/sched/tests/core/orphans.rs
+++ b/crates/sched/tests/core/orphans.rs
@@ -1,9 +1,9 @@
-//! Runs of jobs that the scheduler has not read yet.
+//! Orphaned runs: runs of jobs that the scheduler has not read yet.
 //!
-//! A successor reads the jobs, and learns from the workers what runs. A job that was stored just after it had
-//! read that partition, and started by a predecessor that did not know of its end yet, is in no list of jobs when
-//! its worker tells of it. Taken as a job that was forgotten, its end was dropped and acknowledged, and its task
-//! ran once more when the job was read.
+//! A job can be stored just after the successor has read its partition and then be started by a predecessor that
+//! has not noticed that it was replaced. Its worker then reports a run of an unknown job. When such a job was
+//! treated as forgotten, the end of the run was dropped and acknowledged, and the task ran again once the job was
+//! read.
 
 use syc_sched::Event;
 use syc_sched::JobId;
@@ -32,7 +32,7 @@
     TaskId { step, index }
 }
 
-/// A successor that has read all that was stored before it began, and so not the job.
+/// Creates a successor that has read everything stored before it began, which does not include the job.
 fn successor(workers: usize) -> Driver {
     let mut driver = Driver::new(0, 0);
     driver.scheduler.set_jobs_read(driver.now);
@@ -44,7 +44,7 @@
     driver
 }
 
-/// Lets the rest of the workers answer.
+/// Lets all workers but the first report that nothing runs on them.
 fn others_answer(driver: &mut Driver) {
     for key in driver.workers.clone().into_iter().skip(1) {
         driver.report_running(key, &[]);
@@ -52,15 +52,15 @@
     driver.apply(Event::Ticked);
 }
 
-/// Lets the scheduler read all that is stored by now.
+/// Reads everything stored up to now.
 fn read_on(driver: &mut Driver) {
     driver.advance(1);
     driver.scheduler.set_jobs_read(driver.now);
     driver.apply(Event::Ticked);
 }
 
-#[test_case(false; "while it takes over")]
-#[test_case(true; "after it has taken over")]
+#[test_case(false; "during takeover")]
+#[test_case(true; "after takeover")]
 fn end_reported_before_the_job_is_read_prevents_a_second_run(taken_over: bool) {
     let mut driver = successor(2);
     let first = driver.workers[0];
@@ -154,9 +154,9 @@
     assert_eq!(driver.stops.len(), 1);
 }
 
-/// Two nodes overlapped for 0.8 s, with two fifths of the calls late: the former scheduler still ordered starts of
-/// a job that its successor read only after it had read all the others. The successor heard of the ends a moment
-/// after it had read the job, took it as one that nobody had started, and ran all four tasks once more.
+/// Two schedulers overlapped for 0.8 s while 40% of the calls were late. The predecessor still ordered starts of a
+/// job that its successor read after all others. The successor learned of the ends just after it had read the job,
+/// assumed that nobody had started it, and ran all four tasks again.
 #[test]
 fn end_reported_after_the_job_is_read_prevents_a_second_run() {
     let mut driver = successor(2);
--- a/crates/sched/tests/core/preemption.rs
+++ b/crates/sched/tests/core/preemption.rs
@@ -1,4 +1,4 @@
-//! Stopping less urgent work to make room.
+//! Preemption of less urgent work.
 
 use syc_sched::Event;
 use syc_sched::RunEnd;
@@ -78,7 +78,7 @@
         }
         started
     };
-    // Ten of the forty cores have been used by urgent work for a while.
+    // Urgent work uses ten of the forty cores for a while.
     let started = urgent(1, &mut driver);
     for _ in 0..200 {
         driver.advance(100);
--- a/crates/sched/tests/core/retention.rs
+++ b/crates/sched/tests/core/retention.rs
@@ -1,7 +1,7 @@
-//! How long a job that has ended is kept, in virtual time: long enough whatever clocks show, and not for ever.
+//! Retention of ended jobs in simulated time: long enough whatever the clocks show, and bounded.
 //!
-//! What had ended four seconds before was forgotten, and removed from the store, because the clock of the node
-//! that wrote its end was 200 s behind that of its successor. An age was the difference of two clocks of the day.
+//! A job that had ended four seconds before was forgotten and removed from the store, because the clock of the node
+//! that wrote its end was 200 s behind its successor's. The age of a job was the difference of two wall clocks.
 
 use std::collections::BTreeMap;
 
@@ -29,20 +29,20 @@
 
 const MINUTE_MS: u64 = 60_000;
 
-/// Where the steady clock of a process may stand when it begins: no two are alike.
+/// Offsets of the steady clock of a process from the true time; they differ between processes.
 const STEADY_OFFSETS_MS: [u64; 3] = [1_000, 7_000_000_000, 50_000];
 
-/// The store, and the scheduler of the moment.
+/// The store and the current scheduler.
 struct Simulation {
     /// True time.
     at_ms: u64,
     scheduler: Scheduler,
-    /// What the scheduler's steady clock shows beyond the true time, and by how much its time of day is off.
+    /// Offsets of the scheduler's steady clock and of its wall clock from the true time.
     steady_offset_ms: u64,
     clock_offset_ms: i64,
     tenures: usize,
     stored: BTreeMap<JobId, JobProgress>,
-    /// When each end was first shown, in true time.
+    /// When each end first became visible, in true time.
     visible_at_ms: BTreeMap<JobId, u64>,
     next_job: u64,
 }
@@ -69,7 +69,7 @@
         TimeOfDay((1_790_000_000_000 + self.at_ms).saturating_add_signed(self.clock_offset_ms))
     }
 
-    /// Another scheduler reads what the store has.
+    /// Replaces the scheduler by one that restores the stored jobs.
     fn take_over(&mut self, shift_ms: i64) {
         self.tenures += 1;
         self.clock_offset_ms = shift_ms;
@@ -96,12 +96,15 @@
             };
             let kept_ms = self.at_ms - self.visible_at_ms[&id];
             let status_ms = Options::default().status_ms;
-            assert!(kept_ms >= status_ms, "{id} was kept for {kept_ms} ms");
+            assert!(
+                kept_ms >= status_ms,
+                "{id} was retained for only {kept_ms} ms"
+            );
             self.stored.remove(&id);
         }
     }
 
-    /// A job comes and ends. Returns the change that the store is to take.
+    /// Submits and cancels a job. Returns the record to store.
     fn end_job(&mut self) -> (JobId, u64, JobProgress) {
         let id = self.next_job;
         self.next_job += 1;
@@ -114,7 +117,7 @@
         records.remove(0)
     }
 
-    /// The store takes it, and the scheduler hears so and shows it.
+    /// Stores a record, and lets the scheduler learn of that and make the end visible.
     fn record(&mut self, (id, change, progress): (JobId, u64, JobProgress)) {
         self.stored.insert(id, progress);
         let jobs = vec![(id, change)];
@@ -132,7 +135,8 @@
     }
 }
 
-/// The clock is off on the scheduler that writes the end, on its successor, or on both; and it is set in between.
+/// The clock is wrong on the scheduler that writes the end, on its successor, or on both, and it is stepped in
+/// between.
 #[test]
 fn clock_steps_never_shorten_retention() {
     let status_ms = Options::default().status_ms;
@@ -157,15 +161,15 @@
                 assert!(simulation.knows(id), "{first}, {second}, {third}");
                 assert!(simulation.stored.contains_key(&id));
                 simulation.advance(status_ms);
-                assert!(!simulation.knows(id), "it is forgotten in the end");
+                assert!(!simulation.knows(id), "it is eventually forgotten");
                 assert!(simulation.stored.is_empty());
             }
         }
     }
 }
 
-/// The store took an end late, or the answer was lost and a successor is the first to show it.
-#[test_case(true; "the scheduler hears of it")]
+/// The store accepts an end late, or its answer is lost and a successor is the first to make the end visible.
+#[test_case(true; "the scheduler receives the answer")]
 #[test_case(false; "a successor finds it")]
 fn retention_of_late_write_starts_when_the_end_is_visible(heard: bool) {
     let status_ms = Options::default().status_ms;
@@ -186,7 +190,7 @@
     assert!(simulation.knows(id));
 }
 
-/// What an earlier version wrote says nothing of the cell's time.
+/// Records written by an earlier version hold no cell time.
 #[test]
 fn end_without_cell_time_is_retained_from_takeover() {
     let status_ms = Options::default().status_ms;
@@ -204,7 +208,7 @@
     assert!(!simulation.knows(JobId(1)));
 }
 
-/// A scheduler a minute, for two days: less than it takes to forget anything.
+/// A new scheduler takes over each minute for two days; each tenure is shorter than the retention time.
 #[test]
 fn retained_jobs_stay_bounded_with_takeovers_every_minute() {
     const TENURES: u64 = 2 * 24 * 60;
@@ -222,10 +226,13 @@
         }
         most = most.max(simulation.stored.len());
     }
-    // As many as end in the time for which they are kept, and in one more tenure.
+    // As many jobs as end within the retention time and one more tenure.
     let bound = ENDS_A_TENURE * (status_ms / MINUTE_MS + 1) + 1;
     let most = u64::try_from(most).unwrap_or(u64::MAX);
-    assert!(most <= bound, "{most} were kept, {bound} at most should be");
+    assert!(
+        most <= bound,
+        "{most} jobs were retained, expected at most {bound}"
+    );
 }
 
 #[test_case(1)]
@@ -252,7 +259,7 @@
                 if rng.random_bool(0.8) {
                     simulation.record(end);
                 } else {
-                    // The answer was lost with the scheduler.
+                    // The store's answer is lost with the scheduler.
                     simulation.stored.insert(end.0, end.2);
                     simulation.take_over(0);
                 }
@@ -265,7 +272,7 @@
     assert!(kept.into_iter().all(|id| simulation.knows(id)));
 }
 
-/// Its record would stay in the store for good, and with it the job's progress.
+/// Otherwise its record, and with it the job's progress, would stay in the store for ever.
 #[test]
 fn cancellation_after_the_end_is_removed() {
     let mut simulation = Simulation::new();
--- a/crates/sched/tests/core/serving_order.rs
+++ b/crates/sched/tests/core/serving_order.rs
@@ -1,4 +1,4 @@
-//! In which order waiting steps are served.
+//! The order in which waiting steps are served.
 
 use syc_sched::RunEnd;
 use test_case::test_case;
@@ -7,11 +7,11 @@
 use crate::driver::policy;
 use crate::driver::step;
 
-/// The objective is three seconds here, and of use is what is done within three times that. A job that is
-/// served after all that is not late yet becomes useless while it waits.
+/// The objective is three seconds here, and a job expires after three times that. If late jobs were served after
+/// all others, they would expire while waiting.
 #[test_case(2_000, 1; "in time")]
-#[test_case(7_000, 1; "late, but of use")]
-#[test_case(10_000, 2; "past use")]
+#[test_case(7_000, 1; "late but not expired")]
+#[test_case(10_000, 2; "expired")]
 fn older_job_goes_first_until_it_expires(waited_ms: u64, first: u64) {
     let mut driver = Driver::new(1, 1);
     driver.submit(9, policy(1), vec![step(1, 1)]);
--- a/crates/sched/tests/core/takeover.rs
+++ b/crates/sched/tests/core/takeover.rs
@@ -1,8 +1,8 @@
-//! Taking over from a predecessor: what runs is found out before anything starts again.
+//! Takeover from a predecessor: the successor determines what runs before it starts anything again.
 //!
-//! A predecessor goes on giving orders for a while, also of jobs that its successor reads only after all the others.
-//! Its run and the successor's then had the same number. The end of the one was taken for that of the other, whose
-//! own end as done counted for nothing, and the task ran once more.
+//! A predecessor continues to give orders for a while, also for jobs that its successor reads only after all others.
+//! Its run and the successor's run then had the same number. The end of one was attributed to the other, whose own
+//! end as done was ignored, and the task ran again.
 
 use syc_sched::Event;
 use syc_sched::JobId;
@@ -31,7 +31,7 @@
     TaskId { step, index }
 }
 
-/// A successor that has read a job and a list of workers, none of which has answered yet.
+/// Creates a successor that has read a job and the list of workers, none of which has answered yet.
 fn successor(workers: usize, steps: Vec<StepSpec>, progress: Option<&JobProgress>) -> Driver {
     let mut driver = Driver::new(0, 0);
     driver.restore(1, policy(0), steps, progress);
@@ -98,7 +98,7 @@
     let progress: JobProgress = serde_json::from_str(
         r#"{"state":"running","steps":[{"units":{"0":{"f":1,"r":1,"a":1}}}]}"#,
     )
-    .expect("a record as it is kept");
+    .expect("valid progress record");
     let mut driver = successor(1, vec![step(1, 1)], Some(&progress));
     driver.report(driver.workers[0], &[], &[(task(0), Run(1), RunEnd::Failed)]);
     driver.record();
@@ -138,7 +138,7 @@
     let progress: JobProgress = serde_json::from_str(
         r#"{"state":"running","steps":[{"units":{"0":{"r":1,"w":["w-9"]}}}]}"#,
     )
-    .expect("a record as it is kept");
+    .expect("valid progress record");
     let mut driver = successor(1, vec![step(1, 1)], Some(&progress));
     driver.report_running(driver.workers[0], &[]);
     driver.apply(Event::Ticked);
@@ -152,11 +152,11 @@
         gang: true,
         ..step(2, 1)
     };
-    // The predecessor recorded that run 3 ended when it saw the broken member; two runs had failed.
+    // The predecessor recorded the end of run 3 when it saw the broken member. Two runs had failed before.
     let progress: JobProgress = serde_json::from_str(
         r#"{"state":"running","steps":[{"units":{"0":{"f":2,"r":3,"a":3,"x":2}}}]}"#,
     )
-    .expect("a record as it is kept");
+    .expect("valid progress record");
     let mut driver = successor(1, vec![gang], Some(&progress));
     driver.report(driver.workers[0], &[], &[(task(0), Run(3), RunEnd::Failed)]);
     driver.apply(Event::Ticked);
@@ -170,8 +170,8 @@
     assert_eq!(driver.state(1), Some(JobState::Failed));
 }
 
-/// A successor that has read all that was stored before it began, and then reads on: a job that was stored since,
-/// which its predecessor may have read too.
+/// Creates a successor that has read everything stored before it began. Jobs that it reads from then on may have
+/// been read by its predecessor too.
 fn successor_of_active_predecessor(workers: usize) -> Driver {
     let mut driver = Driver::new(0, 0);
     driver.scheduler.set_jobs_read(driver.now);
@@ -209,9 +209,9 @@
     assert_eq!(driver.starts.len(), 1);
 }
 
-/// Reading what is stored takes a slow store seconds, in which the predecessor's authority ends.
-#[test_case(1, 0; "a moment before its end")]
-#[test_case(0, 1; "from its end on")]
+/// Reading everything from a slow store takes seconds, during which the predecessor's authority ends.
+#[test_case(1, 0; "1 ms before it ends")]
+#[test_case(0, 1; "when it ends")]
 fn predecessor_authority_is_measured_from_election(before_ms: u64, starts: usize) {
     let mut driver = Driver::new(0, 0);
     driver.scheduler.set_elected_at(driver.now);
@@ -226,10 +226,10 @@
     assert_eq!(driver.starts.len(), starts);
 }
 
-/// The end of a run of the same number, on a worker that was taken as gone with all that ran there.
-#[test_case(RunEnd::Failed; "that failed")]
-#[test_case(RunEnd::Lapsed; "whose lease lapsed")]
-#[test_case(RunEnd::Done; "that was done, and told after its lease had lapsed")]
+/// A run with the same number ends on a worker that was presumed lost together with its runs.
+#[test_case(RunEnd::Failed; "failed")]
+#[test_case(RunEnd::Lapsed; "lease expired")]
+#[test_case(RunEnd::Done; "done, reported after its lease expired")]
 fn end_applies_only_to_its_own_run(end: RunEnd) {
     let mut driver = successor(2, vec![step(1, 1)], None);
     driver.report_running(driver.workers[1], &[]);
@@ -246,7 +246,7 @@
     driver.report(driver.workers[0], &[], &[(task(0), Run(1), end)]);
     driver.record();
     driver.schedule();
-    assert!(driver.starts.is_empty(), "its run goes on");
+    assert!(driver.starts.is_empty(), "its run is still active");
     let done = (task(0), starts[0].run, RunEnd::Done);
     driver.report(starts[0].worker, &[], &[done]);
     driver.record();
@@ -272,13 +272,13 @@
     assert_eq!(stops, [Run(2)]);
 }
 
-/// The predecessor had the number stored that may have been used before it, and started the task under the next one
-/// just before its end.
+/// The predecessor stored the run number that may have been used before it, and started the task with the next
+/// number just before it ended.
 #[test]
 fn takeover_skips_run_number_that_may_be_in_use() {
     let progress: JobProgress =
         serde_json::from_str(r#"{"state":"queued","steps":[{"units":{"0":{"r":1,"a":1}}}]}"#)
-            .expect("a record as it is kept");
+            .expect("valid progress record");
     let mut driver = successor(2, vec![step(1, 1)], Some(&progress));
     driver.report_running(driver.workers[1], &[]);
     driver.apply(Event::RenewalFailed {
@@ -293,7 +293,7 @@
     assert_eq!(runs, [Run(3)]);
 }
 
-/// A worker lists so many ends at a time. What it does not list may have ended as done all the same.
+/// A worker reports a limited number of ends at a time. A run that it does not list may still have ended as done.
 #[test]
 fn takeover_waits_for_all_ends_of_a_worker() {
     let mut driver = successor(1, vec![step(1, 1)], None);
--- a/crates/sched/tests/takeovers/choices.rs
+++ b/crates/sched/tests/takeovers/choices.rs
@@ -1,6 +1,6 @@
-//! A bounded exhaustive search: a play asks for choices, and is repeated until each sequence of them was played.
+//! Bounded exhaustive search: a simulation requests choices and is repeated for each possible sequence of them.
 
-/// The choices of one play, each with the number of its alternatives.
+/// The choices of a simulation, each with the number of its alternatives.
 #[derive(Debug, Default)]
 pub struct Choices {
     path: Vec<(usize, usize)>,
@@ -8,7 +8,7 @@
 }
 
 impl Choices {
-    /// Takes one of several alternatives: the first one where the search has not been here before.
+    /// Picks one of several alternatives: the first one when the search reaches a choice for the first time.
     pub fn pick<T>(&mut self, alternatives: &[T]) -> T
     where
         T: Copy,
@@ -21,7 +21,7 @@
         alternatives[taken]
     }
 
-    /// Goes on to the next sequence of choices. Says whether there is one.
+    /// Advances to the next sequence of choices. Returns whether there is one.
     pub fn advance(&mut self) -> bool {
         self.next = 0;
         while let Some((taken, count)) = self.path.pop() {
--- a/crates/sched/tests/takeovers/main.rs
+++ b/crates/sched/tests/takeovers/main.rs
@@ -1,14 +1,14 @@
-//! Takeovers, searched exhaustively in a small size: two schedulers that overlap, one job,
-//! and one worker more than it needs.
+//! Exhaustive search of small takeovers: two overlapping schedulers, one job, and one worker more than it needs.
 //!
-//! A predecessor read a job that its successor did not know yet, and started it as run 1. The successor took what
-//! was submitted since its takeover as started by nobody, and started it as run 1 on another worker. Then the
-//! failure of the one run was told, and taken for the end of the other: that run's own end, as done, counted for
-//! nothing, and the task ran once more. Where the first run was still at work, two ran at once.
+//! A predecessor read a job that its successor did not know yet and started it as run 1. The successor assumed that
+//! nobody had started a job submitted since its takeover, and started it as run 1 on another worker. The failure of
+//! one run was then attributed to the other, whose own end as done was ignored, and the task ran again. If the first
+//! run was still active, two runs overlapped.
 //!
-//! Each play picks when either of them reads the job, when the predecessor ends, for how long the successor does
-//! not reach each worker, how long the task takes, whether the first answer that tells the successor of an end gets
-//! lost, and what becomes of the first order of each: answered, its answer lost, or carried out 2 or 12 s late.
+//! Each simulation chooses when either scheduler reads the job, when the predecessor ends, for how long the successor
+//! cannot reach each worker, how long the task takes, whether the first answer that reports an end to the successor
+//! is lost, and what happens to the first start order of each scheduler: it is answered, its answer is lost, or it is
+//! carried out 2 or 12 s late.
 
 mod choices;
 mod node;
@@ -28,7 +28,7 @@
 use crate::simulation::StartRule;
 use crate::simulation::cpu;
 
-/// What a search came to.
+/// Result of a search.
 #[derive(Debug, Default)]
 struct SearchResult {
     simulations: u64,
@@ -79,14 +79,14 @@
     }
 }
 
-#[test_case(false, 0, StartRule::OnceRead; "a task that is done at once")]
-#[test_case(false, 1, StartRule::OnceRead; "a task that fails once")]
-#[test_case(true, 0, StartRule::OnceRead; "a gang that is done at once")]
-#[test_case(true, 1, StartRule::OnceRead; "a gang that fails once")]
-#[test_case(false, 0, StartRule::OnceConfirmed; "a task that is done at once and proved before")]
-#[test_case(false, 1, StartRule::OnceConfirmed; "a task that fails once and is proved before")]
-#[test_case(true, 0, StartRule::OnceConfirmed; "a gang that is done at once and proved before")]
-#[test_case(true, 1, StartRule::OnceConfirmed; "a gang that fails once and is proved before")]
+#[test_case(false, 0, StartRule::OnceRead; "unconfirmed task succeeds")]
+#[test_case(false, 1, StartRule::OnceRead; "unconfirmed task fails once")]
+#[test_case(true, 0, StartRule::OnceRead; "unconfirmed gang succeeds")]
+#[test_case(true, 1, StartRule::OnceRead; "unconfirmed gang fails once")]
+#[test_case(false, 0, StartRule::OnceConfirmed; "confirmed task succeeds")]
+#[test_case(false, 1, StartRule::OnceConfirmed; "confirmed task fails once")]
+#[test_case(true, 0, StartRule::OnceConfirmed; "confirmed gang succeeds")]
+#[test_case(true, 1, StartRule::OnceConfirmed; "confirmed gang fails once")]
 fn overlapping_schedulers_run_nothing_twice(gang: bool, failing_runs: u32, start_rule: StartRule) {
     let rules = Rules {
         start_rule,
@@ -98,19 +98,19 @@
     assert_eq!(
         counts,
         (0, 0, 0),
-        "of {} plays: {found:?}",
+        "of {} simulations: {found:?}",
         found.simulations
     );
 }
 
-/// It goes on for a moment with what it knew before: leases that it worked out anew outlasted those that its successor
-/// waited for, and a task ran twice on a worker that the successor did not reach.
-#[test_case(false, 0, StartRule::OnceRead; "a task that is done at once")]
-#[test_case(false, 1, StartRule::OnceRead; "a task that fails once")]
-#[test_case(true, 0, StartRule::OnceRead; "a gang that is done at once")]
-#[test_case(false, 0, StartRule::OnceConfirmed; "a task that is done at once and proved before")]
-#[test_case(false, 1, StartRule::OnceConfirmed; "a task that fails once and is proved before")]
-#[test_case(true, 0, StartRule::OnceConfirmed; "a gang that is done at once and proved before")]
+/// A predecessor that was paused briefly continues with its outdated state. When it recomputed its leases, they
+/// outlasted those that its successor waited for, and a task ran twice on a worker that the successor could not reach.
+#[test_case(false, 0, StartRule::OnceRead; "unconfirmed task succeeds")]
+#[test_case(false, 1, StartRule::OnceRead; "unconfirmed task fails once")]
+#[test_case(true, 0, StartRule::OnceRead; "unconfirmed gang succeeds")]
+#[test_case(false, 0, StartRule::OnceConfirmed; "confirmed task succeeds")]
+#[test_case(false, 1, StartRule::OnceConfirmed; "confirmed task fails once")]
+#[test_case(true, 0, StartRule::OnceConfirmed; "confirmed gang succeeds")]
 fn paused_predecessor_runs_nothing_twice(gang: bool, failing_runs: u32, start_rule: StartRule) {
     let rules = Rules {
         start_rule,
@@ -122,14 +122,14 @@
     assert_eq!(
         counts,
         (0, 0, 0),
-        "of {} plays: {found:?}",
+        "of {} simulations: {found:?}",
         found.simulations
     );
 }
 
-/// Leases count from the sending of an order, on purpose.
-#[test_case(false, StartRule::OnceRead; "a task")]
-#[test_case(true, StartRule::OnceConfirmed; "a gang that is proved before")]
+/// Verifies the checker: with leases that deliberately count from the sending of an order, it must find faults.
+#[test_case(false, StartRule::OnceRead; "unconfirmed task")]
+#[test_case(true, StartRule::OnceConfirmed; "confirmed gang")]
 fn checker_detects_leases_measured_from_sending(gang: bool, start_rule: StartRule) {
     let rules = Rules {
         start_rule,
@@ -139,7 +139,7 @@
     println!("{found:?}");
     assert!(
         found.faulty > 0,
-        "of {} plays: {found:?}",
+        "of {} simulations: {found:?}",
         found.simulations
     );
 }
--- a/crates/sched/tests/takeovers/node.rs
+++ b/crates/sched/tests/takeovers/node.rs
@@ -1,4 +1,4 @@
-//! One of the two schedulers, and what it knows of the workers.
+//! One of the two schedulers and its sessions with the workers.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -15,7 +15,7 @@
 use syc_types::Millis;
 use syc_types::WorkerId;
 
-/// An order that a scheduler gives.
+/// An order from a scheduler to a worker.
 #[derive(Debug)]
 pub enum Order {
     Start(StartOrder),
@@ -27,18 +27,18 @@
 pub struct SchedulerNode {
     pub scheduler: Scheduler,
     pub workers: BTreeMap<WorkerKey, WorkerId>,
-    /// Workers whose clock was read.
+    /// Workers that have answered and whose clock is therefore known.
     pub contacted: BTreeSet<WorkerKey>,
     pub has_ended: bool,
     pub has_read_job: bool,
-    /// Start orders so far.
+    /// Number of start orders so far.
     pub start_count: u32,
-    /// What shows that there is no successor.
+    /// Evidence that there is no successor.
     pub authority: Authority,
     orders: Vec<Order>,
 }
 
-/// Two slots, so that a predecessor starts what it learns of in the slot of the takeover and the next one.
+/// Two slots, so that a predecessor starts jobs that it learns of in the slot of the takeover and in the next one.
 const JOB_AUTHORITY_MS: u64 = 2_500;
 
 impl SchedulerNode {
--- a/crates/sched/tests/takeovers/simulation.rs
+++ b/crates/sched/tests/takeovers/simulation.rs
@@ -1,4 +1,4 @@
-//! Two schedulers that overlap, one worker more than the job needs, and one job.
+//! Simulation of two overlapping schedulers, one job, and one worker more than it needs.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -49,34 +49,34 @@
 const LEASE_MS: u64 = 6_000;
 const STOP_MS: u64 = 900;
 
-/// Both schedulers act once in each of these.
+/// Duration of a slot, in which both schedulers act once.
 const SLOT_MS: u64 = 1_000;
 
-/// The slot in which the successor has read what is stored.
+/// Slot in which the successor has read everything that is stored.
 const TAKEOVER_SLOT: u64 = 3;
 
-/// By then every order has arrived, and every lease that was set in doubt has lapsed.
+/// By this slot every order has arrived and every lease of an unanswered order has expired.
 const SLOTS: u64 = 60;
 
-/// Slots for which a worker can't be reached by the successor: not at all, for less than leases last, and longer.
+/// Number of slots for which the successor cannot reach a worker: none, less than a lease, and more than a lease.
 const UNREACHABLE_SLOTS: [u64; 3] = [0, 2, 12];
 
-/// Slots of the takeover in which the predecessor reads the job, from the one before it on.
+/// Slots in which the predecessor reads the job, counted from the slot before the takeover.
 const PREDECESSOR_READ_OFFSETS: [u64; 4] = [0, 1, 2, 3];
 
-/// Slots after the takeover in which the successor reads the job; the first is the takeover itself.
+/// Number of slots after the takeover at which the successor reads the job; 0 is the takeover itself.
 const SUCCESSOR_READ_DELAYS: [u64; 4] = [0, 1, 4, 13];
 
-/// Slots after the takeover in which the predecessor ends: all that its authority allows.
+/// Number of slots after the takeover at which the predecessor ends: all that its authority allows.
 const PREDECESSOR_END_DELAYS: [u64; 3] = [1, 2, 3];
 
-/// Slots for which the predecessor stands still from the takeover on.
+/// Number of slots for which the predecessor is paused from the takeover on.
 const PAUSE_SLOTS: [u64; 3] = [0, 5, 8];
 
-/// How long tasks take.
+/// Run time of tasks.
 const WORK_MS: [u64; 2] = [500, 4_500];
 
-/// What becomes of an order to start.
+/// What happens to a start order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Delivery {
     Answered,
@@ -91,59 +91,59 @@
     Delivery::Delayed(12),
 ];
 
-/// What a play came to.
+/// Result of a simulation.
 #[derive(Debug)]
 pub struct SimulationResult {
     pub faults: Vec<Fault>,
-    /// Runs of one task and number that began on more than one worker.
+    /// Number of runs that started on more than one worker under the same task and run number.
     pub duplicate_run_numbers: usize,
     pub state: Option<JobState>,
 }
 
-/// The rules of a play.
+/// Rules that the schedulers follow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Rules {
     pub start_rule: StartRule,
     pub lease_start: LeaseStart,
 }
 
-/// By which rule a scheduler starts what was stored lately.
+/// When a scheduler starts a job that was stored recently.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartRule {
-    /// As soon as it has read it; its successor waits until nothing unknown runs.
+    /// As soon as it has read the job; its successor waits until everything that runs is known.
     OnceRead,
-    /// Once the store has taken something that was sent after that; its successor need not wait.
+    /// Once the store has accepted a request that was sent after the job was read; its successor need not wait.
     OnceConfirmed,
 }
 
-/// Where the predecessor stands still, and then goes on once before it looks whether it has a successor.
+/// Point at which the predecessor is paused. Afterwards it continues once before it checks for a successor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PausePoint {
-    /// Before it renews leases and decides on anything.
+    /// Before it renews leases and makes decisions.
     BeforeDecisions,
-    /// With its decisions made, and no order sent.
+    /// After its decisions are made and before an order is sent.
     BeforeOrders,
 }
 
 const PAUSE_POINTS: [PausePoint; 2] = [PausePoint::BeforeDecisions, PausePoint::BeforeOrders];
 
-/// From when the leases of a predecessor that stood still count.
+/// Start of the leases that a paused predecessor grants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseStart {
-    /// It does not stand still.
+    /// The predecessor is not paused.
     NoPause,
-    /// From the decision, and no later than what showed that it has no successor allows.
+    /// From the decision, but no later than its evidence of having no successor allows.
     FromDecision,
-    /// From the sending of the order, on purpose: the judge must see it.
+    /// From the sending of the order: deliberately wrong, so that the checker must detect it.
     FromSend,
 }
 
-/// The world of one play.
+/// State of one simulation.
 #[derive(Debug)]
 pub struct Simulation<'a> {
     start_rule: StartRule,
     lease_start: LeaseStart,
-    /// Jobs that were known when the predecessor last sent the store something.
+    /// Number of jobs known when the predecessor last sent a request to the store.
     jobs_sent: u64,
     choices: &'a mut Choices,
     now: Millis,
@@ -153,18 +153,18 @@
     predecessor: SchedulerNode,
     successor: SchedulerNode,
     stored: Option<JobProgress>,
-    /// Time from which the successor reaches each worker.
+    /// Time from which the successor can reach each worker.
     unreachable_until: BTreeMap<WorkerId, Millis>,
     /// Start orders that arrive late.
     delayed_starts: Vec<(Millis, WorkerId, StartCommand)>,
-    /// Answers to the scheduler of a token that come in the next slot.
+    /// Answers that the scheduler with a token receives in the next slot.
     delayed_answers: Vec<(u64, Event)>,
-    /// Whether the successor's first answer that tells of an end has been decided on.
+    /// Whether it has been chosen if the first answer that reports an end to the successor is lost.
     first_end_reported: bool,
 }
 
 impl<'a> Simulation<'a> {
-    /// Makes a world in which the predecessor knows all workers and no job.
+    /// Creates a simulation in which the predecessor knows all workers and no job.
     pub fn new(choices: &'a mut Choices, step: StepSpec, failing_runs: u32, rules: Rules) -> Self {
         let Rules {
             start_rule,
@@ -227,10 +227,10 @@
         simulation
     }
 
-    /// Plays it to the end. Takes note of each state in `seen`.
+    /// Runs to the end and adds each state to `seen`.
     pub fn run(mut self, seen: &mut BTreeSet<u64>) -> SimulationResult {
         let read_before = self.choices.pick(&PREDECESSOR_READ_OFFSETS) + TAKEOVER_SLOT - 1;
-        // What its predecessor has read by then is there when the successor reads all that is stored.
+        // A job that the predecessor has read by then is found when the successor reads everything that is stored.
         let is_stored = read_before < TAKEOVER_SLOT;
         let read_after = if is_stored {
             TAKEOVER_SLOT
@@ -265,7 +265,7 @@
             }
             if slot >= TAKEOVER_SLOT {
                 self.successor.authority.note_taken(self.now);
-                // All that was stored before the job may have been read by then, but no more.
+                // At most everything stored before the job has been read by then.
                 let read_at = Millis(slot.min(read_before) * SLOT_MS);
                 self.successor.scheduler.set_jobs_read(read_at);
                 if slot == read_after && !self.successor.has_read_job {
@@ -293,7 +293,7 @@
         }
     }
 
-    /// Decides for how long the predecessor stands still, and where; none where it goes on.
+    /// Chooses for how long and at which point the predecessor is paused; none if it is not.
     fn pick_pause(&mut self) -> Option<(u64, PausePoint)> {
         if self.lease_start == LeaseStart::NoPause {
             return None;
@@ -303,7 +303,7 @@
         Some((slots, at))
     }
 
-    /// Lets the predecessor act that stands still from the takeover until a slot.
+    /// Lets a predecessor act that is paused from the takeover until a slot.
     fn act_with_pause(&mut self, slot: u64, until: u64, at: PausePoint) {
         if slot < TAKEOVER_SLOT || slot == until {
             self.act(1);
@@ -312,11 +312,11 @@
         }
     }
 
-    /// Lets the predecessor hear that the store took what it sent a slot before, and send it something again.
+    /// Confirms to the predecessor the request that it sent to the store a slot ago, and lets it send another.
     fn confirm_sent_jobs(&mut self, slot: u64) {
         let is_taken = slot <= TAKEOVER_SLOT;
         if is_taken {
-            // What was sent at the last moment: a successor refuses it from then on.
+            // The last request that is accepted: from then on a successor makes the store refuse them.
             self.predecessor.authority.note_taken(self.now);
         }
         if self.start_rule == StartRule::OnceRead {
@@ -335,7 +335,7 @@
         state.is_some_and(JobState::is_terminal) && self.delayed_starts.is_empty()
     }
 
-    /// Returns a number for what is running, under way and known.
+    /// Returns a hash of the state: what runs, what is in transit, and what the schedulers know.
     fn digest(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         let known = (
@@ -388,13 +388,13 @@
         self.successor.scheduler.begin_recovery(now);
     }
 
-    /// Lets a scheduler renew the leases, hear what is reported and look at what waits.
+    /// Lets a scheduler renew leases, handle the reports, schedule waiting steps and send its orders.
     fn act(&mut self, token: u64) {
         self.decide(token);
         self.send_orders(token);
     }
 
-    /// Does all that but the sending of the orders.
+    /// Does the same without sending the orders.
     fn decide(&mut self, token: u64) {
         let now = self.now;
         let (due, rest) = std::mem::take(&mut self.delayed_answers)
@@ -462,7 +462,8 @@
         }
     }
 
-    /// Says whether an answer of a worker gets lost: it may be the first in which the successor would hear of an end.
+    /// Returns whether an answer of a worker is lost. Only the first answer that reports an end to the successor can
+    /// be.
     fn loses_answer(&mut self, token: u64, renewed: &Renewed) -> bool {
         if token == 1 || self.first_end_reported || renewed.report.ended.is_empty() {
             return false;
@@ -492,7 +493,7 @@
             return;
         };
         self.node(token).start_count += 1;
-        // Later ones arrive at once: the first is what can overlap.
+        // Later orders are answered at once, because only the first can overlap with the other scheduler's.
         let is_first = self.node(token).start_count == 1;
         let delivery = if is_first {
             self.choices.pick(&DELIVERIES)
@@ -540,7 +541,7 @@
         self.node(token).apply(answered(answer), now);
     }
 
-    /// Returns when a lease ends that was decided on at a time; none where its scheduler may have a successor.
+    /// Returns the end of a lease that was decided at a time; none if the scheduler may have a successor.
     fn lease_until_ms(&mut self, token: u64, decided_at: Millis) -> Option<u64> {
         let now = self.now;
         let from = match self.lease_start {
@@ -552,7 +553,7 @@
         from.map(|from| from.0 + LEASE_MS)
     }
 
-    /// Tells a scheduler that an order was not sent.
+    /// Reports to a scheduler that an order was not sent.
     fn withhold(&mut self, token: u64, order: &StartOrder) {
         let event = Event::StartAnswered {
             worker: order.worker,
@@ -588,12 +589,12 @@
             .partition(|(at, _, _)| *at <= now);
         self.delayed_starts = rest;
         for (_, id, command) in due {
-            // Whoever sent it has given it up: its answer goes nowhere.
+            // The sender no longer waits for the answer.
             let _unheard = self.fleet.start(&id, &command, now);
         }
     }
 
-    /// Lets the store take what a scheduler has of the job.
+    /// Stores a scheduler's progress of the job.
     fn record(&mut self, token: u64) {
         let now = self.now;
         if self.node(token).has_ended {
