--- a/crates/admit/src/admission.rs
+++ b/crates/admit/src/admission.rs
@@ -1,4 +1,4 @@
-//! The records of one node on their way into the store.
+//! The state machine that decides on the records of one node.
 
 mod routing;
 
@@ -21,79 +21,80 @@
 use crate::record::ForwardState;
 
 new_key_type! {
-    /// Names an append.
+    /// Identifies an append.
     pub struct AppendKey;
 }
 
-/// What is to be done.
+/// An action to be carried out by the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Append records to a partition, all or none.
+    /// Append records to a partition atomically.
     Append {
-        /// Names the append in [`Admission::append_answered`].
+        /// Identifies the append in [`Admission::append_answered`].
         append: AppendKey,
-        /// Where.
+        /// The partition.
         partition: u32,
-        /// What, in order.
+        /// The records, in order.
         records: Vec<RecordKey>,
     },
-    /// Hand a record to the scheduler's node.
+    /// Forward a record to the scheduler's node.
     Forward {
         /// The record.
         record: RecordKey,
-        /// Its caller is answered after this time at the latest.
+        /// Time left until its caller has to be answered.
         timeout_ms: u64,
     },
-    /// Answer the caller of a record, which is forgotten.
+    /// Answer the caller of a record. The record is removed.
     Answer {
         /// The record.
         record: RecordKey,
-        /// What is certain.
+        /// The outcome.
         outcome: Outcome,
     },
 }
 
-/// An append under way.
+/// An append in flight.
 #[derive(Debug)]
 struct Append {
     records: Vec<RecordKey>,
     partition: u32,
     sent_at: Millis,
-    /// When it is overdue.
+    /// When it becomes overdue.
     overdue_at: Millis,
-    /// Whether its records were sent on another way since.
+    /// Whether its records have been rerouted since.
     is_rerouted: bool,
 }
 
-/// Decides about the records of one node.
+/// Decides on the records of one node.
 #[derive(Debug)]
 pub struct Admission {
     options: AdmitOptions,
     latency: LatencyEstimate,
     retry_budget: Budget,
     records: SlotMap<RecordKey, Entry>,
-    /// Records that wait for an append of this node, in their order.
+    /// Records queued for an append of this node, in order.
     queue: VecDeque<RecordKey>,
     appends: SlotMap<AppendKey, Append>,
-    /// Partitions beyond the node's own that the next append goes to: one that failed is left.
+    /// Offset of the next append's partition from the node's own; a partition whose append failed
+    /// is skipped.
     partition_offset: u32,
-    /// When the latest of the calls that the store answered had been sent.
+    /// The latest time at which a store call was sent that has since been answered.
     answered_sent_at: Millis,
-    /// Appends in a row that failed.
+    /// Consecutive failed appends.
     failures: u32,
-    /// Appends that this node may have under way, as of the last decision.
+    /// Maximum concurrent appends of this node, as of the last decision.
     max_appends: usize,
-    /// Whether the store answered, as of the last decision.
+    /// Whether the store was answering, as of the last decision.
     store_answers: bool,
-    /// No append of this node before this time.
+    /// End of the backoff; no append is sent before it.
     backoff_until: Millis,
-    /// All callers are answered by then.
+    /// Time by which all callers are answered, once the node is stopping.
     stop_deadline: Option<Millis>,
     actions: Vec<Action>,
 }
 
 impl Admission {
-    /// Begins with nothing to store.
+    /// Creates an admission without records.
     #[must_use]
     pub fn new(options: AdmitOptions) -> Self {
         Self {
@@ -114,19 +115,21 @@
         }
     }
 
-    /// Says whether no caller waits for an answer.
+    /// Returns whether no caller waits for an answer.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Returns the time that an append takes now: the usual one, or what one without an answer has taken so far.
+    /// Returns the current append latency: the estimate, or the time that an unanswered append has
+    /// taken so far if that is longer.
     #[must_use]
     pub fn append_ms(&self, now: Millis) -> u64 {
         self.longest_wait_ms(now).max(self.latency.estimate_ms())
     }
 
-    /// Answers all callers by a time, and those that come later at once.
+    /// Sets a time by which all callers are answered. Callers that arrive after it are answered at
+    /// once.
     pub fn stop_by(&mut self, at: Millis) {
         self.stop_deadline = Some(at);
         for entry in self.records.values_mut() {
@@ -134,7 +137,8 @@
         }
     }
 
-    /// Takes a record that is to be stored by a time. [`Admission::decide`] says what is to be done.
+    /// Adds a record with the time by which its caller must be answered. [`Admission::decide`]
+    /// returns what is to be done.
     pub fn offer(&mut self, bytes: usize, deadline: Millis) -> RecordKey {
         let deadline = self.stop_deadline.map_or(deadline, |at| deadline.min(at));
         let record = self.records.insert(Entry::new(bytes, deadline));
@@ -143,21 +147,21 @@
         record
     }
 
-    /// The same for a record that another node hands over: it is not handed on.
+    /// Adds a record forwarded by another node. It is not forwarded again.
     pub fn offer_forwarded(&mut self, bytes: usize, deadline: Millis) -> RecordKey {
         let record = self.offer(bytes, deadline);
         self.records[record].forward = ForwardState::Finished;
         record
     }
 
-    /// Takes note of how an append ended.
+    /// Handles the result of an append.
     pub fn append_answered(&mut self, append: AppendKey, answer: AppendAnswer, now: Millis) {
         let Some(append) = self.appends.remove(append) else {
             return;
         };
         match answer {
             AppendAnswer::Stored => {
-                // A single late answer says nothing of how long appends take now.
+                // A single late answer says nothing about the current latency.
                 if !self.is_answer_lost(&append) {
                     self.latency.record(now.since(append.sent_at));
                 }
@@ -179,7 +183,7 @@
         }
     }
 
-    /// Takes note of what the scheduler's node said of a record, and how long that took.
+    /// Handles the answer to a forwarded record and how long it took.
     pub fn forward_answered(&mut self, record: RecordKey, answer: ForwardAnswer, took_ms: u64) {
         let Some(entry) = self.records.get_mut(record) else {
             return;
@@ -201,7 +205,7 @@
         self.requeue(record);
     }
 
-    /// Returns when [`Admission::decide`] is due, if nothing else happens.
+    /// Returns when [`Admission::decide`] has to be called if nothing else happens.
     #[must_use]
     pub fn next_decision_at(&self, now: Millis) -> Option<Millis> {
         let mut next_decision_at: Option<Millis> = None;
@@ -225,7 +229,7 @@
         next_decision_at
     }
 
-    /// Decides what is to be done now.
+    /// Returns the actions that are due now.
     #[must_use]
     pub fn decide(&mut self, view: View, now: Millis) -> Vec<Action> {
         self.max_appends = self.max_appends(view, now);
@@ -250,7 +254,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Answers those whose time is over with what is certain.
+    /// Answers callers whose deadline has passed.
     fn answer_expired(&mut self, now: Millis) {
         let mut overdue = Vec::new();
         for (record, entry) in &self.records {
@@ -279,7 +283,7 @@
         self.requeue(record);
     }
 
-    /// Drops those from the row that do not wait any more.
+    /// Removes records from the queue that are no longer waiting.
     fn prune_queue(&mut self) {
         let records = &self.records;
         let is_queued =
@@ -287,7 +291,7 @@
         self.queue.retain(is_queued);
     }
 
-    /// Lets a record wait for another append, the first of those that wait, unless some way is still open.
+    /// Puts a record at the front of the queue unless some route is still open.
     fn requeue(&mut self, record: RecordKey) {
         let entry = &mut self.records[record];
         if !entry.is_in_flight() && !entry.is_queued {
@@ -320,7 +324,8 @@
         self.actions.push(Action::Answer { record, outcome });
     }
 
-    /// Returns when a caller that is turned away should come back: when what waits now is stored.
+    /// Returns the delay after which a refused caller should retry: the time until the current
+    /// queue is stored.
     fn retry_after_ms(&self, now: Millis) -> u64 {
         let options = &self.options;
         let stored_at = self.expected_stored_at(self.next_append_at(now), self.queue.len(), now);
@@ -328,7 +333,8 @@
         queue_ms.clamp(options.min_retry_after_ms, options.max_retry_after_ms)
     }
 
-    /// Returns the appends whose answers somebody waits for; the others hold up nothing.
+    /// Returns the appends with a caller that still waits for an answer. The others do not hold up
+    /// anything.
     fn live_appends(&self) -> impl Iterator<Item = &Append> {
         let is_live = |append: &&Append| {
             let mut records = append.records.iter();
@@ -337,8 +343,8 @@
         self.appends.values().filter(is_live)
     }
 
-    /// Says whether the answer of an append was lost: one that was sent later was answered, so that it is not the
-    /// store that is slow.
+    /// Returns whether the answer of an append was lost. It was if a call that was sent later has
+    /// been answered: then the cause is not a slow store.
     fn is_answer_lost(&self, append: &Append) -> bool {
         append.sent_at < self.answered_sent_at
     }
@@ -349,8 +355,9 @@
             .count()
     }
 
-    /// Returns how many appends may be under way. Several help only where each takes long, and only while they are
-    /// answered: what stands behind one without an answer is not sent, and its caller can be told so.
+    /// Returns the maximum number of concurrent appends. Several help only if each takes long, and
+    /// only while they are answered: records queued behind an unanswered append are not sent, so
+    /// their callers can be told so with certainty.
     fn max_appends(&self, view: View, now: Millis) -> usize {
         let is_slow = self.latency.estimate_ms() >= self.options.slow_ms;
         if view.is_collector && is_slow && self.longest_wait_ms(now) < self.overdue_ms() {
@@ -360,7 +367,8 @@
         }
     }
 
-    /// Returns how long the longest append of which somebody waits for the answer has been under way.
+    /// Returns the time in flight of the oldest unanswered append with a waiting caller, not
+    /// counting lost answers.
     fn longest_wait_ms(&self, now: Millis) -> u64 {
         let unanswered = self
             .live_appends()
@@ -374,7 +382,7 @@
         scaled_ms.max(self.options.min_overdue_ms)
     }
 
-    /// Returns when the next append can begin.
+    /// Returns when the next append can be sent.
     fn next_append_at(&self, now: Millis) -> Millis {
         let estimate_ms = self.append_ms(now);
         let mut append_at = now.max(self.backoff_until);
@@ -388,17 +396,17 @@
         append_at
     }
 
-    /// Returns when a record will be stored before which so many others wait.
+    /// Returns when a record at a position in the queue will probably be stored.
     fn expected_stored_at(&self, append_at: Millis, position: usize, now: Millis) -> Millis {
         let estimate_ms = self.append_ms(now);
         let batches = u64::try_from(position / self.options.max_batch_records).unwrap_or(u64::MAX);
         let queued_ms = batches.saturating_mul(self.stagger_ms());
         let stored_at = append_at.plus(queued_ms.saturating_add(estimate_ms));
-        // Appends differ in the time that they take.
+        // A margin, since append latencies vary.
         stored_at.plus(stored_at.since(now) / 4)
     }
 
-    /// Returns how much later than one append the next of a node that collects may be sent.
+    /// Returns the minimum time between consecutive appends of a node that collects records.
     fn stagger_ms(&self) -> u64 {
         let appends = u64::try_from(self.max_appends).unwrap_or(1);
         let scaled_ms = self.latency.estimate_ms() / appends.max(1);
--- a/crates/admit/src/admission/routing.rs
+++ b/crates/admit/src/admission/routing.rs
@@ -1,4 +1,5 @@
-//! The ways of a record: an append of this node, the scheduler's node, or back to its caller.
+//! The routes of a record: an append of this node, the scheduler's node, or a refusal to its
+//! caller.
 
 use syc_types::Millis;
 
@@ -9,11 +10,12 @@
 use crate::View;
 use crate::record::ForwardState;
 
-/// Most times that the patience with an append doubles.
+/// Maximum number of times that the timeout of an append doubles.
 const MAX_DOUBLINGS: u32 = 6;
 
 impl Admission {
-    /// Says whether an append of this node would come late: the store is slow, or leaves one unanswered.
+    /// Returns whether an append of this node would be late: the store is slow or leaves one
+    /// unanswered.
     pub(super) fn is_slow(&self, view: View, now: Millis) -> bool {
         let slow_ms = self.options.slow_ms;
         let is_collector_slow = view.has_collector && view.collector_append_ms >= slow_ms;
@@ -22,10 +24,11 @@
             || self.longest_wait_ms(now) >= self.overdue_ms()
     }
 
-    /// Lets no record wait for a store that does not answer.
+    /// Handles all records while the store does not answer.
     ///
-    /// What was never sent goes to the scheduler's node or back to its caller at once, who hears that it surely was
-    /// not accepted, and not after a second that it may have been. What is in doubt waits a while for the store.
+    /// A record that was never sent is forwarded to the scheduler's node or refused at once. Its
+    /// caller learns immediately that it was not accepted, instead of after a second that it may
+    /// have been. Records in doubt wait a while for the store to recover.
     pub(super) fn bypass_store(&mut self, view: View, now: Millis) {
         let max_doubt_ms = self.options.max_doubt_ms;
         let records: Vec<_> = self.records.keys().collect();
@@ -41,7 +44,7 @@
         }
     }
 
-    /// Sends the records of appends that are overdue on another way: to the scheduler's node, or else, within the
+    /// Reroutes the records of overdue appends: to the scheduler's node, or else, within the retry
     /// budget, to another partition.
     pub(super) fn reroute_overdue_appends(&mut self, view: View, now: Millis) {
         let mut overdue = Vec::new();
@@ -67,8 +70,9 @@
 
     /// Appends records again.
     ///
-    /// A repeat makes the row of a slow store longer, and is paid for. Those of the one node that collects are few,
-    /// and an append whose answer was lost stands in no row.
+    /// A resent append lengthens the queue of a slow store, so it is charged to the retry budget.
+    /// It is free for the one node that collects, which sends few, and for an append whose answer
+    /// was lost, since that one is not queued.
     fn resend(&mut self, records: &[RecordKey], is_answer_lost: bool, view: View, now: Millis) {
         let max_attempts = self.options.max_attempts;
         let mut resent = Vec::new();
@@ -98,7 +102,8 @@
         }
     }
 
-    /// Hands a record to the scheduler's node, if that takes it and was not asked before. Says whether it did.
+    /// Forwards a record to the scheduler's node if that accepts records and was not asked before.
+    /// Returns whether it did.
     fn forward(&mut self, record: RecordKey, view: View, now: Millis) -> bool {
         let Some(entry) = self.records.get_mut(record) else {
             return false;
@@ -115,8 +120,9 @@
         true
     }
 
-    /// Lets what the scheduler's node has not answered wait for an append of this node, once that node is not heard
-    /// of any more. One that is only slow is waited for: further appends would add to what makes it slow.
+    /// Queues unanswered forwarded records for an append of this node once the scheduler's node is
+    /// no longer reachable. While that node is only slow, this node waits: further appends would
+    /// add to the load.
     pub(super) fn requeue_unanswered_forwards(&mut self) {
         for (record, entry) in &mut self.records {
             let is_unanswered = entry.forward == ForwardState::InFlight;
@@ -127,10 +133,10 @@
         }
     }
 
-    /// Turns away at once what can't be stored in time.
+    /// Refuses records that cannot be stored in time.
     ///
-    /// The first is tried where nothing is under way: how long the store takes is known from answers alone, and a
-    /// node that tried nothing would turn away for ever.
+    /// The first record is always tried if nothing is in flight. Latency is known only from
+    /// answers, so a node that sent nothing would keep refusing forever.
     pub(super) fn refuse_late_records(&mut self, now: Millis) {
         let is_free = self.appends_in_flight() == 0;
         let append_at = self.next_append_at(now);
@@ -152,7 +158,7 @@
         self.prune_queue();
     }
 
-    /// Appends what waits, as far as appends may be under way.
+    /// Appends queued records, up to the limit of concurrent appends.
     pub(super) fn append_queued(&mut self, view: View, now: Millis) {
         while !self.queue.is_empty() && self.may_append(now) {
             let batch = self.dequeue_batch();
@@ -184,8 +190,8 @@
         batch
     }
 
-    /// Returns how long an append may take: twice as long with each try, as long as it is not known whether the store
-    /// is slow or has lost the answers.
+    /// Returns the time after which an append is overdue. It doubles with each attempt, since it is
+    /// unknown whether the store is slow or has lost the answers.
     fn timeout_ms(&self, records: &[RecordKey]) -> u64 {
         let attempts = records.iter().map(|record| self.records[*record].attempts);
         self.overdue_ms() << attempts.max().unwrap_or(0).min(MAX_DOUBLINGS)
@@ -214,7 +220,8 @@
         });
     }
 
-    /// Returns the first partition, from the node's own on, that no append of this node is under way to.
+    /// Returns the first partition, counting from the node's own, without an append of this node in
+    /// flight.
     fn free_partition(&self, view: View) -> u32 {
         let partitions = view.partitions.max(1);
         let first = view.partition + self.partition_offset % partitions;
--- a/crates/admit/src/latency.rs
+++ b/crates/admit/src/latency.rs
@@ -1,27 +1,27 @@
-//! How long the store takes for an append, as its answers show.
+//! Append latency of the store, estimated from its answers.
 
-/// Units of the usual time in a millisecond.
+/// Units of the estimate per millisecond.
 const UNITS_PER_MS: u64 = 100;
 
-/// Part of the way that the usual time moves down to a shorter one, in hundredths. It moves up at once: the row of
-/// a slow store is there from its first answer on.
+/// Weight of a sample below the estimate, in percent. A sample above it replaces the estimate,
+/// because the queue of a slow store exists from its first slow answer on.
 const DECREASE_PERCENT: u64 = 25;
 
-/// How much more time an append is taken to need after one that was not answered.
+/// Factor by which an unanswered append increases the estimate.
 const TIMEOUT_FACTOR: u64 = 3;
 
-/// However many were not answered, an append is not taken to need more than this.
+/// Limit up to which unanswered appends increase the estimate.
 const MAX_TIMEOUT_ESTIMATE_MS: u64 = 1_500;
 
-/// The usual time of an append.
+/// An estimate of the time that an append takes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LatencyEstimate {
-    /// Ten microseconds each, so that the smoothing keeps fractions of a millisecond.
+    /// In units of ten microseconds, so that smoothing keeps fractions of a millisecond.
     estimate_ten_us: u64,
 }
 
 impl LatencyEstimate {
-    /// Begins with a time that appends are taken to need before any was answered.
+    /// Creates an estimate with an assumed initial latency.
     #[must_use]
     pub const fn new(estimate_ms: u64) -> Self {
         Self {
@@ -29,22 +29,23 @@
         }
     }
 
-    /// Returns the usual time.
+    /// Returns the estimated latency.
     #[must_use]
     pub const fn estimate_ms(&self) -> u64 {
         self.estimate_ten_us / UNITS_PER_MS
     }
 
-    /// Takes note of how long an answer took.
+    /// Records the response time of an append.
     pub fn record(&mut self, took_ms: u64) {
         let smoothed = self.estimate_ten_us * (100 - DECREASE_PERCENT)
             + took_ms * UNITS_PER_MS * DECREASE_PERCENT;
         self.estimate_ten_us = (smoothed / 100).max(took_ms * UNITS_PER_MS);
     }
 
-    /// Takes note that an append was not answered at all.
+    /// Records an append that was not answered.
     ///
-    /// Once that is a lost answer; several times in a row, the store is slower than it is given time for.
+    /// A single one may be a lost answer. Several in a row mean that the store is slower than its
+    /// timeout allows for.
     pub fn record_timeout(&mut self) {
         let slower = self.estimate_ten_us * TIMEOUT_FACTOR;
         self.estimate_ten_us = slower
@@ -52,7 +53,10 @@
             .max(self.estimate_ten_us);
     }
 
-    /// Takes note that another node, which makes its appends elsewhere, was answered that soon.
+    /// Records how long a forwarded record took to be stored.
+    ///
+    /// The scheduler's node appends to other partitions, so the sample does not replace the
+    /// estimate, which is only halved as long as it stays above the sample.
     pub const fn record_forwarded(&mut self, took_ms: u64) {
         let halved = self.estimate_ten_us / 2;
         let peer_ten_us = took_ms * UNITS_PER_MS;
--- a/crates/admit/src/lib.rs
+++ b/crates/admit/src/lib.rs
@@ -1,20 +1,22 @@
-//! Admission: which records a node hands to the store, when and by which way, and which it turns away.
+//! Admission control for records that a node writes to the store: when and by which route each
+//! record is sent, and which records are refused.
 //!
-//! An [`Admission`] is a pure state machine: records, answers and the time go in, [`Action`]s come out. It
-//! performs no I/O and reads no clock, so that each load that broke it is played again in a test.
+//! [`Admission`] is a pure state machine: records, answers and the time go in, and [`Action`]s come
+//! out. It performs no I/O and reads no clock, so tests can replay any load that broke it.
 //!
-//! The load that it answers is that of a store which is slower than usual by one or two orders of magnitude. A
-//! partition of the store takes one append at a time, so that appends wait in a row there. Dozens of nodes, each
-//! with appends of its own, make long rows of small appends, and what a node sends again stands in the row a
-//! second time. Beyond some length nothing is answered before its timeout, and the repeats keep the row as long as
-//! it is: a metastable failure. What keeps rows short:
+//! It is designed for a store that is one or two orders of magnitude slower than usual. A partition
+//! of the store processes one append at a time, so appends queue up there. If dozens of nodes each
+//! send their own appends, the queues become long and consist of small appends, and each resent
+//! append queues a second time. Beyond some length nothing is answered before its timeout, and
+//! retries keep the queue at that length: a metastable failure. Queues stay short because:
 //!
-//! - a node has one append under way, and what comes meanwhile shares the next;
-//! - while the store is slow, nodes hand their records to the scheduler's node, which needs one append for the
-//!   records of all of them;
-//! - an append is sent again only where no other way is left, within a budget;
-//! - an append is given up only when no answer can come any more, not when it takes longer than a sound one;
-//! - what can't be stored in time is turned away before anything of it is sent.
+//! - a node has one append in flight, and records that arrive meanwhile share the next one;
+//! - while the store is slow, nodes forward their records to the scheduler's node, which needs one
+//!   append for the records of all of them;
+//! - an append is resent only if no other route is left, and within a retry budget;
+//! - an append is abandoned only when it can no longer be answered, not when it is slower than
+//!   usual;
+//! - records that cannot be stored in time are refused before any part of them is sent.
 
 mod admission;
 mod latency;
--- a/crates/admit/src/options.rs
+++ b/crates/admit/src/options.rs
@@ -1,42 +1,43 @@
-//! The bounds of an admission.
+//! Options of the admission control.
 
-/// The bounds of an [`crate::Admission`].
+/// Options of an [`crate::Admission`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AdmitOptions {
-    /// Most records that share one append.
+    /// Maximum number of records in one append.
     pub max_batch_records: usize,
-    /// Most bytes that share one append; a single record may have more.
+    /// Maximum number of bytes in one append; a single record may exceed it.
     pub max_batch_bytes: usize,
-    /// Appends that a node which takes the records of others has under way, each in another partition: while one
-    /// is answered, the next is on its way.
+    /// Maximum concurrent appends of a node that collects records of others, each to another
+    /// partition: while one is answered, the next is on its way.
     pub max_collector_appends: usize,
-    /// Time that an append is taken to need before any was answered.
+    /// Assumed append latency before the first answer.
     pub initial_append_ms: u64,
-    /// A store whose appends take this long is slow: several times what a sound one needs at a full load.
+    /// Append latency from which the store counts as slow: several times what a healthy store needs
+    /// at full load.
     pub slow_ms: u64,
-    /// An append without an answer after this many times the usual time is overdue.
+    /// Multiple of the estimated latency after which an unanswered append is overdue.
     pub overdue_factor: u64,
-    /// It is overdue no sooner than this: above the time of a sound answer.
+    /// Lower bound of that time, above the response time of a healthy store.
     pub min_overdue_ms: u64,
-    /// Appends that may be sent again at once where no other way is left.
+    /// Capacity of the retry budget: appends that may be resent at once if no other route is left.
     pub retry_burst: u64,
-    /// Part of a repeat that each answered append pays for, in thousandths.
+    /// Share of a retry that each answered append earns, in thousandths.
     pub retry_refund_per_mille: u64,
-    /// Most appends that a record may be in, one after the other or at a time.
+    /// Maximum number of appends that a record is part of, concurrently or one after another.
     pub max_attempts: u32,
-    /// Appends of a record that the store refuses, before the caller hears of it.
+    /// Rejected appends of a record after which its caller is refused.
     pub max_refusals: u32,
-    /// Wait after an append that failed; it doubles with each one in a row.
+    /// Backoff after a failed append; it doubles with each consecutive failure.
     pub backoff_base_ms: u64,
-    /// Longest such wait.
+    /// Maximum backoff.
     pub backoff_max_ms: u64,
-    /// A record in doubt is given up after this time while the store answers nothing at all.
+    /// Time after which a record in doubt is given up while the store answers nothing at all.
     pub max_doubt_ms: u64,
-    /// A caller that is turned away comes back no sooner than after this time.
+    /// Minimum delay after which a refused caller should retry.
     pub min_retry_after_ms: u64,
-    /// And no later than after this time.
+    /// Maximum delay after which a refused caller should retry.
     pub max_retry_after_ms: u64,
-    /// Whether records are handed to the scheduler's node while the store is slow.
+    /// Whether records are forwarded to the scheduler's node while the store is slow.
     pub forwards_when_slow: bool,
 }
 
--- a/crates/admit/src/record.rs
+++ b/crates/admit/src/record.rs
@@ -1,68 +1,68 @@
-//! A record that is to be stored, and what becomes of it.
+//! A record waiting to be stored, and its outcome.
 
 use slotmap::new_key_type;
 use syc_types::Millis;
 
 new_key_type! {
-    /// Names a record that waits to be stored.
+    /// Identifies a record that waits to be stored.
     pub struct RecordKey;
 }
 
-/// What becomes of a record.
+/// The outcome of a record, as reported to its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// The store has it.
+    /// The record is stored.
     Stored {
-        /// The partition that has it.
+        /// The partition that contains it.
         partition: u32,
     },
-    /// The store does not have it and never will.
+    /// The record is not stored and never will be.
     Refused {
-        /// When its caller should come back.
+        /// Delay after which the caller should retry.
         retry_after_ms: u64,
     },
-    /// It may be in the store, or come into it.
+    /// The record may be stored now or later.
     InDoubt,
 }
 
-/// How an append ended.
+/// The result of an append.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AppendAnswer {
-    /// The store has all of its records.
+    /// All of its records are stored.
     Stored,
-    /// The store has none and never will.
+    /// None of its records is stored or ever will be.
     Refused,
-    /// There was no answer, and none can come any more.
+    /// There was no answer, and none can arrive any more.
     InDoubt,
 }
 
-/// What the scheduler's node said of a record that was handed over.
+/// The answer of the scheduler's node to a forwarded record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ForwardAnswer {
-    /// The store has it.
+    /// The record is stored.
     Stored {
-        /// The partition that has it.
+        /// The partition that contains it.
         partition: u32,
     },
-    /// It surely was not stored there and will not be.
+    /// The scheduler's node did not store the record and will not.
     Refused {
-        /// When the caller should come back.
+        /// Delay after which the caller should retry.
         retry_after_ms: u64,
     },
-    /// The record never got there.
+    /// The record never reached the scheduler's node.
     NotSent,
-    /// It may have been stored.
+    /// The record may have been stored.
     InDoubt,
 }
 
-/// How far the handing over of a record is.
+/// The state of forwarding a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ForwardState {
-    /// It was not handed over.
+    /// It has not been forwarded.
     NotForwarded,
-    /// The scheduler's node has it, and has not answered.
+    /// It was sent to the scheduler's node, which has not answered.
     InFlight,
-    /// It was, and that did not settle it.
+    /// Forwarding is over and did not settle it, or it was itself forwarded by another node.
     Finished,
 }
 
@@ -70,20 +70,20 @@
 #[derive(Debug)]
 pub(crate) struct Entry {
     pub(crate) bytes: usize,
-    /// Its caller hears what is certain by then.
+    /// Its caller is answered by this time.
     pub(crate) deadline: Millis,
-    /// Whether it waits for an append of this node.
+    /// Whether it is queued for an append of this node.
     pub(crate) is_queued: bool,
-    /// When something of it was first sent.
+    /// When it was first sent by any route.
     pub(crate) first_sent_at: Option<Millis>,
     pub(crate) forward: ForwardState,
-    /// Appends under way that contain it.
+    /// Appends in flight that contain it.
     pub(crate) appends_in_flight: u32,
-    /// Appends that have contained it.
+    /// All appends so far that contained it.
     pub(crate) attempts: u32,
-    /// Appends of it that the store refused.
+    /// Appends of it that the store rejected.
     pub(crate) refusals: u32,
-    /// Whether a way that it went may have stored it.
+    /// Whether some earlier attempt may have stored it.
     pub(crate) may_be_stored: bool,
 }
 
@@ -102,17 +102,17 @@
         }
     }
 
-    /// Says whether some way may still bring an answer.
+    /// Returns whether some route may still bring an answer.
     pub(crate) const fn is_in_flight(&self) -> bool {
         self.appends_in_flight > 0 || matches!(self.forward, ForwardState::InFlight)
     }
 
-    /// Says whether the store surely does not have it, whatever comes.
+    /// Returns whether the record is certainly not stored and nothing in flight can store it.
     pub(crate) const fn is_certainly_not_stored(&self) -> bool {
         !self.is_in_flight() && !self.may_be_stored
     }
 
-    /// Says what is certain now.
+    /// Returns the outcome that is certain now.
     pub(crate) const fn outcome(&self, retry_after_ms: u64) -> Outcome {
         if self.is_certainly_not_stored() {
             Outcome::Refused { retry_after_ms }
--- a/crates/admit/src/view.rs
+++ b/crates/admit/src/view.rs
@@ -1,22 +1,23 @@
-//! What a node believes of its surroundings while it decides.
+//! A node's view of the store and the scheduler's node.
 
 use syc_types::Millis;
 
-/// What a node believes of the store and of the scheduler's node.
+/// A node's view of the store and the scheduler's node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct View {
     /// Whether the store answers this node.
     pub store_answers: bool,
-    /// When the latest of the calls to the store that were answered had been sent, but for reads that may wait.
+    /// The latest time at which a store call was sent that has since been answered, not counting
+    /// long polls.
     pub answered_sent_at: Millis,
-    /// Whether the scheduler's node, another one, takes records to store them.
+    /// Whether another node is the scheduler's and accepts forwarded records.
     pub has_collector: bool,
-    /// Time of an append at the scheduler's node, as it told last.
+    /// Append latency of the scheduler's node, as last reported.
     pub collector_append_ms: u64,
-    /// Whether others hand their records to this node.
+    /// Whether other nodes forward their records to this one.
     pub is_collector: bool,
-    /// The partition that this node writes to, among those of the topic.
+    /// This node's default partition in the topic.
     pub partition: u32,
-    /// Partitions of the topic.
+    /// Number of partitions of the topic.
     pub partitions: u32,
 }
--- a/crates/admit/tests/admit/main.rs
+++ b/crates/admit/tests/admit/main.rs
@@ -1,4 +1,4 @@
-//! What callers hear while the store is slow, in virtual time.
+//! Outcomes for callers while the store is slow, in simulated time.
 
 mod simulation;
 
@@ -9,7 +9,7 @@
 use syc_admit::Outcome;
 use test_case::test_case;
 
-/// A node that sends again what is overdue, without a bound, and hands nothing over.
+/// Options of a node that resends overdue appends without a bound and forwards nothing.
 fn unbounded_retries() -> AdmitOptions {
     AdmitOptions {
         retry_burst: 1_000_000,
@@ -35,7 +35,7 @@
     answers.iter().filter(is_late).count()
 }
 
-/// Returns the time within which so many of a hundred were answered.
+/// Returns a percentile of the response times.
 fn percentile_ms(answers: &[CallerAnswer], percent: usize) -> u64 {
     let mut took_ms: Vec<_> = answers.iter().map(|answer| answer.took_ms).collect();
     took_ms.sort_unstable();
@@ -51,7 +51,7 @@
 fn print_summary(name: &str, simulation: &Simulation, setup: Setup) {
     let answers = simulation.answers_to_calls_in(setup.slow_from_ms, setup.slow_until_ms);
     println!(
-        "{name}: {} came, {} stored, {} in doubt, {} refused late, p50 {} ms, p99 {} ms, {} appends",
+        "{name}: {} submitted, {} stored, {} in doubt, {} refused late, p50 {} ms, p99 {} ms, {} appends",
         answers.len(),
         count_stored(&answers),
         count_in_doubt(&answers),
@@ -62,12 +62,12 @@
     );
 }
 
-/// The load of a calm day while the store is slower than usual: all that comes can be stored, and is.
-#[test_case(1, 1; "a sound store")]
+/// With a moderate load and a slower store, everything can be stored in time, and is.
+#[test_case(1, 1; "a healthy store")]
 #[test_case(1, 20; "twenty times slower")]
 #[test_case(2, 73; "seventy three times slower")]
-#[test_case(4, 73; "seventy three times slower, other callers")]
-#[test_case(5, 150; "a hundred and fifty times slower, other callers")]
+#[test_case(4, 73; "seventy three times slower, another seed")]
+#[test_case(5, 150; "a hundred and fifty times slower, another seed")]
 #[test_case(3, 150; "a hundred and fifty times slower")]
 fn records_are_stored_while_a_slow_store_answers(seed: u64, slowdown: u64) {
     let setup = Setup {
@@ -89,7 +89,7 @@
     }
 }
 
-/// Without bounds, repeats alone keep the rows so long that nothing is answered in time.
+/// Without a retry budget, retries alone keep the queues so long that nothing is answered in time.
 #[test]
 fn unbounded_retries_keep_a_slow_store_overloaded() {
     let setup = Setup {
@@ -119,7 +119,7 @@
 
 #[test_case(1, 200; "a fifth")]
 #[test_case(2, 350; "a third")]
-#[test_case(3, 350; "a third, other callers")]
+#[test_case(3, 350; "a third, another seed")]
 fn most_records_are_stored_despite_lost_answers(seed: u64, lost_per_mille: u32) {
     let setup = Setup {
         lost_per_mille,
@@ -131,8 +131,8 @@
     assert!(count_stored(&answers) * 100 >= answers.len() * 99);
 }
 
-/// More comes than the store can take: what is taken is as much as the store's pace allows, and the rest is turned
-/// away at once.
+/// The load exceeds the capacity of the store: as much is stored as the store can handle, and the
+/// rest is refused at once.
 #[test]
 fn records_beyond_the_capacity_of_a_slow_store_are_refused_at_once() {
     let setup = Setup {
@@ -145,24 +145,25 @@
     };
     let simulation = run(1, setup, AdmitOptions::default());
     print_summary("overload", &simulation, setup);
-    // By then the rows of the first seconds are over, in which nobody could know how slow it is.
+    // The first seconds are left out: no node could know yet how slow the store is, and the queues
+    // of that time have to drain first.
     let answers = simulation.answers_to_calls_in(setup.slow_from_ms + 5_000, setup.slow_until_ms);
     let refused = answers.len() - count_stored(&answers) - count_in_doubt(&answers);
     assert!(refused > 0);
     assert!(late_refusals(&answers) * 100 <= refused);
     assert!(count_in_doubt(&answers) * 100 <= answers.len());
-    // Eight appends of 256 records under way, each of 0.6 s, for two seconds.
+    // Eight concurrent appends of 256 records, each taking 0.6 s, for two seconds.
     let can_be_stored = 8 * 256 * 2_000 / 600;
     assert!(count_stored(&answers) * 10 >= can_be_stored * 9);
 }
 
-/// Handing over costs nothing while the store is sound: each node appends what it gets itself.
+/// Forwarding adds no appends while the store is healthy: each node appends its own records.
 #[test]
 fn a_healthy_store_gets_at_most_one_append_per_record() {
     let setup = Setup::default();
     let simulation = run(1, setup, AdmitOptions::default());
     let answers = simulation.answers_to_calls_in(0, setup.end_ms);
-    let appends = usize::try_from(simulation.appends()).expect("few");
+    let appends = usize::try_from(simulation.appends()).expect("the number of appends fits");
     assert!(appends <= answers.len());
     assert!(percentile_ms(&answers, 99) <= 25);
 }
--- a/crates/admit/tests/admit/simulation.rs
+++ b/crates/admit/tests/admit/simulation.rs
@@ -1,4 +1,5 @@
-//! Nodes that store what callers bring them, over a store whose partitions take one append at a time.
+//! A simulation of nodes that store records of callers in a store whose partitions process one
+//! append at a time.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -19,57 +20,57 @@
 use syc_fleet::StoreRows;
 use syc_types::Millis;
 
-/// The node that is the scheduler's.
+/// The scheduler's node.
 const SCHEDULER: usize = 0;
 
-/// Time of a message from one node to another, or to the store.
+/// One-way network delay between nodes, and to the store.
 const NETWORK_DELAY_MS: u64 = 3;
 
-/// Nodes hear from the scheduler's node this often.
+/// Interval of contacts with the scheduler's node.
 const CONTACT_INTERVAL_MS: u64 = 150;
 
-/// The scheduler's node answers this much before the patience of who hands a record over.
+/// The scheduler's node answers a forwarded record this long before its sender's timeout.
 const REPLY_MARGIN_MS: u64 = 100;
 
-/// A node that hears nothing of the scheduler's for so long takes it to be silent.
+/// Silence after which a node considers the scheduler's node unreachable.
 const SCHEDULER_SILENCE_MS: u64 = 700;
 
-/// The scheduler's node tells the store this often that it is there, in a partition of its own.
+/// Interval of the scheduler's heartbeats to the store, which have a partition of their own.
 const HEARTBEAT_INTERVAL_MS: u64 = 250;
 
-/// The partition of the heartbeats.
+/// The partition of heartbeats.
 const HEARTBEAT_PARTITION: u32 = 1_000;
 
-/// Time that a sound store takes for an append.
+/// Append latency of a healthy store.
 const APPEND_MS: u64 = 4;
 
-/// A record has so many bytes.
+/// Size of a record.
 const RECORD_BYTES: usize = 3_000;
 
-/// What is played.
+/// Parameters of a simulation.
 #[derive(Debug, Clone, Copy)]
 pub struct Setup {
     pub nodes: usize,
     pub partitions: u32,
     pub records_per_s: f64,
-    /// While the store is slow.
+    /// Start and end of the period in which the store is slow.
     pub slow_from_ms: u64,
     pub slow_until_ms: u64,
-    /// How much slower it is then.
+    /// Factor by which append latency increases then.
     pub slowdown: u64,
-    /// Part of the store's answers that are lost then, in thousandths.
+    /// Share of the store's answers that are lost then, in thousandths.
     pub lost_per_mille: u32,
-    /// Whether the scheduler's node answers nobody while the store is slow.
+    /// Whether the scheduler's node is unreachable while the store is slow.
     pub scheduler_silent: bool,
-    /// Callers wait this long.
+    /// Time that callers wait for an answer.
     pub timeout_ms: u64,
-    /// An append without an answer is given up after this time.
+    /// Time after which an unanswered append is abandoned.
     pub append_timeout_ms: u64,
     pub end_ms: u64,
 }
 
 impl Default for Setup {
-    /// Dozens of nodes that share partitions, with a load that a sound store does not feel.
+    /// Dozens of nodes that share partitions, with a light load for a healthy store.
     fn default() -> Self {
         Self {
             nodes: 97,
@@ -87,7 +88,7 @@
     }
 }
 
-/// What a caller heard.
+/// The answer to a caller.
 #[derive(Debug, Clone, Copy)]
 pub struct CallerAnswer {
     pub submitted_at: u64,
@@ -102,9 +103,9 @@
         append: AppendKey,
         answer: AppendAnswer,
     },
-    /// The store has answered a heartbeat.
+    /// The store answers a heartbeat.
     Heartbeat { sent_at: Millis },
-    /// The scheduler's node gets a record of another.
+    /// A forwarded record reaches the scheduler's node.
     Forwarded {
         node: usize,
         record: RecordKey,
@@ -119,7 +120,7 @@
     },
 }
 
-/// Who waits for a record at a node.
+/// Who waits for the outcome of a record.
 #[derive(Debug, Clone, Copy)]
 enum Waiter {
     Caller {
@@ -138,11 +139,11 @@
     now: Millis,
     nodes: Vec<Admission>,
     collector_append_ms: Vec<u64>,
-    /// When the latest heartbeat that was answered had been sent.
+    /// The latest time at which a heartbeat was sent that has since been answered.
     answered_sent_at: Millis,
-    /// Nodes to which something has happened.
+    /// Nodes that have to decide because something happened.
     has_news: Vec<bool>,
-    /// When each node has to decide though nothing happens.
+    /// When each node has to decide even if nothing happens.
     due_at: Vec<Option<Millis>>,
     waiters: HashMap<(usize, RecordKey), Waiter>,
     rows: StoreRows,
@@ -174,7 +175,7 @@
         }
     }
 
-    /// Plays until all callers have heard something.
+    /// Runs until all callers have been answered.
     pub fn run(&mut self) {
         while self.now.0 < self.setup.end_ms + self.setup.timeout_ms {
             self.now = self.now.plus(1);
@@ -223,7 +224,7 @@
         self.is_slow() && self.rng.random_range(0..1_000) < self.setup.lost_per_mille
     }
 
-    /// Each node hears at its own time what an append takes at the scheduler's node.
+    /// Reports the append latency of the scheduler's node to each node, at staggered times.
     fn send_contacts(&mut self) {
         if self.is_scheduler_silent() {
             return;
@@ -416,13 +417,13 @@
         self.waiters.insert((SCHEDULER, forwarded), waiter);
     }
 
-    /// Returns what callers heard who came in some time.
+    /// Returns the answers to records that were submitted in a time range.
     pub fn answers_to_calls_in(&self, from_ms: u64, until_ms: u64) -> Vec<CallerAnswer> {
         let in_time = |answer: &&CallerAnswer| (from_ms..until_ms).contains(&answer.submitted_at);
         self.answers.iter().filter(in_time).copied().collect()
     }
 
-    /// Returns the number of appends of records that were sent.
+    /// Returns the number of record appends that were sent.
     pub const fn appends(&self) -> u64 {
         self.appends
     }
--- a/crates/cell/src/leader.rs
+++ b/crates/cell/src/leader.rs
@@ -1,4 +1,4 @@
-//! What the scheduler of a cell does: it carries out the decisions of `syc-sched`.
+//! The scheduler role of a cell: executes the decisions of `syc-sched`.
 
 mod adaptive_timeout;
 mod advice;
@@ -56,83 +56,88 @@
 use crate::ports::Platform;
 use crate::ports::Record;
 
-/// Events within this time share one look at the waiting tasks.
+/// Minimum time between two scheduling passes, so that events in between share one pass.
 const SCHEDULE_INTERVAL_MS: u64 = 3;
 
-/// Part of a worker's lease by which its clock may run slow, in thousandths.
+/// Tolerated drift of a worker's clock over a lease, in thousandths.
 const CLOCK_DRIFT_PER_MILLE: u64 = 25;
 
-/// Longest time that an order is taken to be under way before its lease counts.
+/// Assumed maximum delay of an order before its lease takes effect.
 const MAX_ORDER_DELAY_MS: u64 = 150;
 
-/// Heartbeats that a worker may miss before its registration lapses.
+/// Heartbeats a worker may miss before its registration expires.
 const MAX_MISSED_HEARTBEATS: u64 = 3;
 
-/// Longest time from a worker's heartbeat until the store shows it, beside that.
+/// Maximum additional delay before the store shows a worker's heartbeat.
 const MAX_HEARTBEAT_DELAY_MS: u64 = 500;
 
-/// What the store shows counts as current for this long after it was asked.
+/// Maximum age of a read of the jobs for the scheduler to assert that a job does not exist,
+/// measured from when the read was sent.
 const MAX_JOBS_READ_AGE_MS: u64 = 2_500;
 
-/// A scheduler that hears no other node for this long hands the role over, and one that hears no worker for as long
-/// beyond the time that workers are given.
+/// A scheduler hands over its role after hearing no other node for this long, or hearing fewer than
+/// half of the workers for this long beyond their answer timeout.
 const ISOLATION_TIMEOUT_MS: u64 = 1_500;
 
-/// A node that handed the role over does not claim it again for this long.
+/// Time for which a node that gave up the role does not claim it again.
 const RECLAIM_DELAY_MS: u64 = 5_000;
 
-/// The role of scheduler, held by this node.
+/// The scheduler role, held by this node.
 #[derive(Debug)]
 pub(crate) struct Leader<P>
 where
     P: Platform,
 {
     node: Rc<Node<P>>,
-    /// Fencing token of all its orders.
+    /// Fencing token sent with every order.
     pub(crate) token: u64,
     scheduler: RefCell<Scheduler>,
-    /// Jobs that can't be read.
+    /// Jobs with records that this node cannot read.
     unreadable_jobs: UnreadableJobs,
-    /// Whether the jobs and workers were read from the store.
+    /// Whether jobs and workers have been loaded from the store.
     loaded: Cell<bool>,
     ended: Cell<bool>,
-    /// Whether new starts are held back because the role is being handed over.
+    /// Whether the role is being handed over; no new tasks are started then.
     handing_over: Cell<bool>,
     started_at: Millis,
-    /// Where progress is written.
+    /// State of the progress partitions in the store.
     progress: ProgressWriter,
-    /// The workers that may run something, as the store has them.
+    /// Workers that may be running tasks, as recorded in the store.
     roster: Roster,
-    /// Asks for a look at the waiting tasks.
+    /// Requests a scheduling pass over the waiting tasks.
     schedule_notify: Notify,
-    /// Asks for progress to be written.
+    /// Wakes the task that writes progress.
     progress_notify: Notify,
-    /// Tells that progress was written.
+    /// Signals that a batch of progress was written.
     progress_written: Notify,
     sessions: RefCell<SecondaryMap<WorkerKey, Session>>,
     advisers: RefCell<Advisers>,
-    /// Time beyond the expected that answers of the advice service take.
+    /// Adaptive slack beyond the expected duration of advice calls.
     advice_timeout: AdaptiveTimeout,
-    /// Links to the nodes that call for advice, but for the scheduler's own.
+    /// Clients for the other nodes that can call the advice service.
     adviser_clients: RefCell<BTreeMap<SmolStr, Rc<PeerClient>>>,
-    /// When each partition of the topic of jobs was last asked for what proved to reach its end.
+    /// For each jobs partition, when the last read that reached its end was sent.
     jobs_read_at: RefCell<Vec<Millis>>,
-    /// Partitions that hold what was submitted of a job; several where its submit was repeated.
+    /// Partitions that hold the submitted records of each job; several if its submission was
+    /// retried.
     partitions_by_job: RefCell<HashMap<JobId, Vec<u32>>>,
-    /// Jobs whose specification is to be removed, and jobs to be forgotten.
+    /// Jobs whose submitted records are to be removed from the store.
     specs_to_remove: RefCell<Vec<JobId>>,
+    /// Jobs whose progress is to be removed once their submitted records are gone.
     progress_to_remove: RefCell<Vec<JobId>>,
-    /// What operators are to be told.
+    /// Status records for operators that are still to be written.
     statuses: RefCell<VecDeque<Record>>,
-    /// Asks for that to be written.
+    /// Wakes the task that writes status records.
     status_notify: Notify,
+    /// When another node was last in contact; `None` before the first contact.
     peer_heard_at: Cell<Option<Millis>>,
-    /// What shows that there is no successor.
+    /// Tracks for how long no successor can have been chosen.
     authority: RefCell<Authority>,
-    /// Tells that the store took the first heartbeat.
+    /// Whether the store has accepted a heartbeat of this scheduler.
     heartbeat_accepted: Cell<bool>,
     heartbeat_notify: Notify,
     day: RefCell<CellDay>,
+    /// When at least half of the workers were last answering.
     workers_heard_at: Cell<Millis>,
     tasks: RefCell<Vec<actix_rt::task::JoinHandle<()>>>,
 }
@@ -141,7 +146,10 @@
 where
     P: Platform,
 {
-    /// Takes the role, with the fencing token of the claim.
+    /// Starts the scheduler role with the fencing token of a successful claim.
+    ///
+    /// `predecessors_prove` says whether all predecessors start jobs only while they hold a proof
+    /// of authority.
     pub(crate) fn start(node: &Rc<Node<P>>, token: u64, predecessors_prove: bool) {
         let partitions = usize::try_from(node.settings.job_partitions()).unwrap_or(1);
         let options = options(node);
@@ -189,7 +197,8 @@
         leader.spawn(takeover::take_over(Rc::clone(&leader)));
     }
 
-    /// Returns the condition that refuses appends of a predecessor, by the token as the epoch.
+    /// Returns the append condition that makes the store reject predecessors: the fencing token is
+    /// the producer's epoch.
     fn producer_condition(&self, producer: &'static str, sequence: u64) -> Condition {
         Condition::Producer {
             name: SmolStr::new_static(producer),
@@ -205,7 +214,7 @@
         self.tasks.borrow_mut().push(actix_rt::spawn(task));
     }
 
-    /// Gives the role up at once: nothing more is ordered.
+    /// Gives up the role immediately; no further orders are sent.
     pub(crate) fn step_down(&self, reason: &'static str) {
         if self.ended.replace(true) {
             return;
@@ -231,7 +240,8 @@
         }
     }
 
-    /// Hands the role on: what is known is written, then the store is told that nobody holds it.
+    /// Hands over the role: writes pending progress, then records in the store that the role is
+    /// free.
     pub(crate) async fn hand_over(self: &Rc<Self>, reason: &'static str) {
         if self.handing_over.replace(true) || self.ended.get() {
             return;
@@ -240,7 +250,7 @@
         self.release(reason).await;
     }
 
-    /// Takes an event to the scheduler, and carries out what it wants.
+    /// Passes an event to the scheduler and performs the resulting actions.
     pub(crate) fn apply(self: &Rc<Self>, event: Event) {
         if self.ended.get() {
             return;
@@ -253,7 +263,7 @@
         }
     }
 
-    /// Looks at the waiting tasks whenever something has changed.
+    /// Runs a scheduling pass whenever something has changed.
     async fn run_scheduling(self: Rc<Self>) {
         loop {
             self.schedule_notify.notified().await;
@@ -310,7 +320,8 @@
         }
     }
 
-    /// Tells the state of a job, where what was read of the jobs is current.
+    /// Returns the state of a job. The answer is `Unsure` if the jobs read from the store are not
+    /// current.
     pub(crate) fn job_state(&self, id: JobId) -> StateAnswer {
         if !self.loaded.get() {
             return StateAnswer::Unsure;
@@ -325,7 +336,8 @@
         }
     }
 
-    /// Says whether every partition of jobs was read lately: a job that is not known does not exist.
+    /// Returns whether every jobs partition was read recently, so that an unknown job does not
+    /// exist.
     fn knows_all_jobs(&self) -> bool {
         let now = now();
         let read_at = self.jobs_read_at.borrow();
@@ -334,7 +346,7 @@
             .all(|at| now.since(*at) < MAX_JOBS_READ_AGE_MS)
     }
 
-    /// Tells how many jobs of a queue have not begun.
+    /// Returns the number of jobs in a queue that have not started.
     pub(crate) fn pending_jobs(&self, queue: &str) -> PendingAnswer {
         if !self.loaded.get() || !self.knows_all_jobs() {
             return PendingAnswer::Unsure;
@@ -343,18 +355,20 @@
         PendingAnswer::Known(u64::try_from(jobs).unwrap_or(u64::MAX))
     }
 
-    /// Says whether the jobs and workers were read from the store.
+    /// Returns whether jobs and workers have been loaded from the store.
     pub(crate) const fn is_loaded(&self) -> bool {
         self.loaded.get()
     }
 
-    /// Returns what the scheduler holds.
+    /// Returns the scheduler's current counts of jobs, runs and workers.
     pub(crate) fn counts(&self) -> Counts {
         self.scheduler.borrow().counts(now())
     }
 
-    /// Takes note that another node is there. Returns the partition that it should write jobs to:
-    /// another one for each node, as far as they reach.
+    /// Records a contact from another node.
+    ///
+    /// Returns the jobs partition that node should write to. Nodes get distinct partitions as far
+    /// as there are enough.
     pub(crate) fn register_peer(&self, contact: &Contact) -> u32 {
         self.peer_heard_at.set(Some(now()));
         self.register_adviser(contact);
@@ -366,20 +380,21 @@
         1 + self.advisers.borrow().others_before(&contact.node)
     }
 
-    /// Returns the time of day that timed jobs are due by.
+    /// Returns the agreed time of day, which decides when timed jobs are due.
     pub(crate) fn agreed_day(&self) -> AgreedDay {
         self.day.borrow_mut().look(self.node.read_day())
     }
 
-    /// Has timed jobs due by the time of day that the nodes agree on.
+    /// Passes the agreed time of day to the scheduler.
     pub(crate) fn update_day(&self) {
         let agreed = self.agreed_day();
         self.scheduler.borrow_mut().set_day(agreed.day);
     }
 
-    /// Takes note that another node follows this scheduler.
+    /// Records that another node follows this scheduler.
     ///
-    /// What it says is as old as the last answer that it had: it may have waited here while this node stood still.
+    /// The contact may have been queued here while this node was paused, so it counts as of the
+    /// last answer that the other node received.
     fn note_follower(&self, contact: &Contact) {
         if contact.token != self.token {
             return;
@@ -389,20 +404,22 @@
         self.authority.borrow_mut().note_follower(&name, heard_at);
     }
 
-    /// Takes note that the store took an append under the fencing token that was sent at a time.
+    /// Records that the store accepted an append sent at `sent_at` under this fencing token.
     fn note_append_accepted(&self, sent_at: Millis) {
         self.authority.borrow_mut().note_taken(sent_at);
     }
 
-    /// Returns the time from which a lease counts that was decided on at a time; none where a successor may have been
-    /// chosen so long ago that this node must give no orders any more.
+    /// Returns the time from which a lease decided on at `decided_at` counts, or `None` if a
+    /// successor may already have been chosen, in which case this node must not send orders.
     fn lease_from(&self, decided_at: Millis) -> Option<Millis> {
         self.authority.borrow().lease_from(decided_at, now())
     }
 
-    /// Says whether half of the workers have been silent for longer than they are given to answer.
+    /// Returns whether fewer than half of the workers have answered for longer than they are given
+    /// to answer.
     ///
-    /// With a fixed time, nodes handed the role round over workers that are all slow to answer.
+    /// That time adapts to how fast workers answer. With a fixed time, nodes kept handing over the
+    /// role when all workers were slow.
     fn is_isolated_from_workers(&self, now: Millis) -> bool {
         if self.scheduler.borrow().hears_half() {
             self.workers_heard_at.set(now);
@@ -411,7 +428,8 @@
         now.since(self.workers_heard_at.get()) > ISOLATION_TIMEOUT_MS + self.median_slack_ms()
     }
 
-    /// Hands the role on if this node seems cut off while the store, and so the others, may not be.
+    /// Hands over the role if this node appears isolated while the store, and therefore other
+    /// nodes, may be reachable.
     pub(crate) fn hand_over_if_isolated(self: &Rc<Self>) {
         if self.authority.borrow().is_over(now()) {
             self.step_down("isolated");
--- a/crates/cell/src/leader/adaptive_timeout.rs
+++ b/crates/cell/src/leader/adaptive_timeout.rs
@@ -1,47 +1,49 @@
-//! For how long the answers of a worker, or of the advice service, are waited for.
+//! Timeouts that adapt to the response times of a worker or the advice service.
 //!
-//! A fixed time over answers that are late by as much as that has sound workers count as silent again and again, and
-//! each order that is given up costs a connection. So the time follows the answers. Only how soon a silence shows hangs
-//! on it, and how soon an order is sent again: what may run where is decided by leases and tokens alone.
+//! A fixed timeout close to the actual response time makes healthy workers count as silent over and
+//! over, and each abandoned request costs a connection. The timeout only affects how soon silence
+//! is noticed and how soon an order is sent again. What may run where depends on leases and tokens
+//! alone.
 
 use std::cell::Cell;
 
 use syc_retry::TimeoutEstimator;
 
-/// Longest time that an answer is given: a lease lasts for several.
+/// Upper bound of the timeout; a lease spans several of them.
 const MAX_MS: u64 = 2_000;
 
-/// Leases outlast so many renewals without an answer.
+/// Number of unanswered renewals that fit into a lease.
 const MIN_RENEWALS_PER_LEASE: u64 = 3;
 
-/// For how long the answers of one other side are waited for.
+/// The adaptive timeout for one peer.
 #[derive(Debug, Default)]
 pub(super) struct AdaptiveTimeout {
     estimator: Cell<TimeoutEstimator>,
 }
 
 impl AdaptiveTimeout {
-    /// Returns the time that an answer is given, at least that which a sound side needs.
+    /// Returns the timeout for a request, at least `min_ms`, which suffices for a healthy peer.
     pub(super) fn timeout_ms(&self, min_ms: u64) -> u64 {
         self.estimator.get().timeout_ms(min_ms, MAX_MS)
     }
 
-    /// Returns the time that the answer to a renewal is given beyond the wait that it asks for.
+    /// Returns the timeout for a renewal beyond the wait that it requests.
     pub(super) fn renewal_slack_ms(&self, min_ms: u64, lease_ms: u64) -> u64 {
         let max_ms = MAX_MS.min(lease_ms / MIN_RENEWALS_PER_LEASE);
         self.estimator.get().timeout_ms(min_ms, max_ms)
     }
 
-    /// Takes note of how long an answer took, or of the time within which it did not come.
+    /// Records a response time, or the timeout if there was no answer.
     pub(super) fn record(&self, took_ms: u64) {
         let mut estimator = self.estimator.get();
         estimator.record(took_ms);
         self.estimator.set(estimator);
     }
 
-    /// Takes note of the answer to a renewal that asked for a wait.
+    /// Records the response time of a renewal that requested a wait.
     pub(super) fn record_renewal(&self, took_ms: u64, wait_ms: u64, reported_ends: bool) {
-        // How much of the time the worker waited is known only where it waited for nothing.
+        // The worker answers early if it has ends to report, so the time it actually waited is
+        // unknown.
         if reported_ends && wait_ms > 0 {
             return;
         }
--- a/crates/cell/src/leader/advice.rs
+++ b/crates/cell/src/leader/advice.rs
@@ -1,4 +1,4 @@
-//! Spreading calls for advice over the nodes: the service serves one call at a time for each.
+//! Distributes advice calls over the nodes: the service handles one call at a time per node.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -27,14 +27,14 @@
 use crate::ports::Platform;
 use crate::unreadable::Source;
 
-/// A call may take at least this long beyond what its service is expected to.
+/// Minimum slack of a call beyond its expected duration.
 const MIN_SLACK_MS: u64 = 300;
 
 impl<P> Leader<P>
 where
     P: Platform,
 {
-    /// Takes note of a node that can call for advice.
+    /// Registers a node that can call the advice service.
     pub(super) fn register_adviser(&self, contact: &Contact) {
         let Ok(address) = contact.address.parse() else {
             let reason = "the address of the node is malformed";
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Has advice asked for by the node that is free first.
+    /// Requests advice for a step through the node that is available first.
     pub(super) fn request_advice(
         self: &Rc<Self>,
         step: StepId,
@@ -104,7 +104,9 @@
         let slack_ms = self.advice_timeout.timeout_ms(MIN_SLACK_MS);
         let timeout_ms = expected_ms + slack_ms;
         let Some(name) = self.advisers.borrow_mut().take(length, now()) else {
-            return Err(AdviceError(SmolStr::new_static("no node is free")));
+            return Err(AdviceError(SmolStr::new_static(
+                "no node is available for an advice call",
+            )));
         };
         let client = self.adviser_clients.borrow().get(&name).cloned();
         let sent_at = now();
@@ -130,7 +132,7 @@
             }
         };
         let took_ms = now().since(sent_at);
-        // One that failed at once says nothing of how long an answer takes.
+        // A call that failed early tells nothing about response times.
         if advice.is_ok() || took_ms >= timeout_ms {
             let excess_ms = took_ms.saturating_sub(expected_ms);
             self.advice_timeout.record(excess_ms.min(slack_ms));
--- a/crates/cell/src/leader/heartbeat.rs
+++ b/crates/cell/src/leader/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Telling the store, and so every node, that the scheduler is there.
+//! Heartbeats of the scheduler, written to the store for all nodes to read.
 
 use std::rc::Rc;
 
@@ -13,19 +13,20 @@
 use crate::records;
 use crate::records::HolderRecord;
 
-/// Name of the producer of heartbeats.
+/// Producer name of heartbeats.
 const PRODUCER: &str = "holder";
 
-/// Name of the producer of the release. It numbers for itself: a heartbeat under way may be carried out, and
-/// a release under the same number would count as its repeat.
+/// Producer name of the release record. It has its own sequence numbers: a heartbeat in doubt may
+/// still be stored, and a release with the same number would be dropped as its duplicate.
 const RELEASE_PRODUCER: &str = "release";
 
-/// Tries to tell the store that the role is free, before the others find out by the silence.
+/// Attempts to write the release record. Without it, other nodes take over only after a silence
+/// timeout.
 const MAX_RELEASE_ATTEMPTS: u32 = 3;
 
-/// Appends heartbeats until the role is lost.
+/// Appends heartbeats until this node no longer holds the role.
 ///
-/// They carry the token as the producer's epoch, so that those of a predecessor are refused.
+/// The fencing token is the producer epoch, so the store rejects heartbeats of predecessors.
 pub(super) async fn send_heartbeats<P>(leader: Rc<Leader<P>>)
 where
     P: Platform,
@@ -52,7 +53,8 @@
                 sequence = expected;
                 leader.note_heartbeat(sent_at);
             }
-            // The number stays, so that a sign that was taken after all is not counted twice.
+            // The sequence number is kept so that a heartbeat that was stored after all is not
+            // counted twice.
             Err(_noted) => {}
         }
         pause(leader.node.settings.timing.heartbeat_ms).await;
@@ -63,15 +65,16 @@
 where
     P: Platform,
 {
-    /// Takes note that the store took a heartbeat that was sent at a time, or would have: it refuses those of
-    /// predecessors from then on.
+    /// Records that the store accepted a heartbeat sent at `sent_at`, or rejected only its sequence
+    /// number. From then on it rejects heartbeats of predecessors.
     fn note_heartbeat(&self, sent_at: Millis) {
         self.note_append_accepted(sent_at);
         self.heartbeat_accepted.set(true);
         self.heartbeat_notify.notify_waiters();
     }
 
-    /// Waits until the store refuses the heartbeats of predecessors, by which they would give orders still.
+    /// Waits until the store rejects heartbeats of predecessors, which would otherwise keep them
+    /// authorized to send orders.
     pub(super) async fn fence_heartbeats(&self) {
         loop {
             let accepted = self.heartbeat_notify.notified();
@@ -93,7 +96,7 @@
         }
     }
 
-    /// Ends the role and tells the store that it is free.
+    /// Steps down and records in the store that the role is free.
     pub(super) async fn release(self: &Rc<Self>, reason: &'static str) {
         self.step_down(reason);
         let record = records::holder(&self.holder_record(true));
--- a/crates/cell/src/leader/orders.rs
+++ b/crates/cell/src/leader/orders.rs
@@ -1,4 +1,4 @@
-//! Sending start and stop orders, each in a task of its own.
+//! Sends start, stop and pace orders, each in its own task.
 
 use std::rc::Rc;
 
@@ -23,7 +23,7 @@
 use crate::ports::StartCommand;
 use crate::ports::StopCommand;
 
-/// Why an order is not sent by a scheduler that may have a successor.
+/// Reason for not sending an order when a successor may have been chosen.
 pub(super) const POSSIBLY_SUPERSEDED: SmolStr =
     SmolStr::new_static("another scheduler may have been chosen");
 
@@ -31,7 +31,7 @@
 where
     P: Platform,
 {
-    /// Fails where the role has ended while an order waited for its turn.
+    /// Fails if the role ended while an order was waiting to be sent.
     fn ensure_active(&self) -> Result<(), OrderError> {
         if self.ended.get() {
             return Err(OrderError::NotSent(POSSIBLY_SUPERSEDED));
@@ -47,7 +47,7 @@
     pub(super) fn order_start(self: &Rc<Self>, order: StartOrder) {
         let lease_ms = self.node.settings.lease_ms();
         let Some(link) = self.link_to(order.worker) else {
-            // The session has just ended; what it held is ended by the event that did so.
+            // The session has just ended, and the event that ended it also ended its runs.
             return;
         };
         log::run_ordered(&order, &link.address.id, self.token);
@@ -137,8 +137,8 @@
         }
     }
 
-    /// Acts on an answer that says more than what became of the order: the worker's incarnation is over, or
-    /// this scheduler's role is. Says whether it did.
+    /// Handles errors that concern more than the order: the worker's incarnation is over, or this
+    /// scheduler was fenced. Returns whether it was such an error.
     fn handle_terminal_error(self: &Rc<Self>, worker: WorkerKey, error: &OrderError) -> bool {
         match error {
             OrderError::Replaced => self.apply(Event::Replaced { worker }),
@@ -162,7 +162,7 @@
         percent: u8,
     ) {
         let Some(link) = self.link_to(worker) else {
-            // The session has just ended; what it held is ended by the event that did so.
+            // The session has just ended, and the event that ended it also ended its runs.
             return;
         };
         let command = PaceCommand {
@@ -214,7 +214,7 @@
         reason: StopReason,
     ) {
         let Some(link) = self.link_to(worker) else {
-            // The session has just ended; what it held is ended by the event that did so.
+            // The session has just ended, and the event that ended it also ended its runs.
             return;
         };
         log::stop_ordered(task, run, &link.address.id, reason);
@@ -243,7 +243,7 @@
         let accepted = match stopped {
             Ok(()) => true,
             Err(error) if self.handle_terminal_error(worker, &error) => return,
-            // It is sent again until it is taken.
+            // The scheduler sends it again until it is accepted.
             Err(error) => {
                 log::stop_failed(&self.failed_order(command.task, command.run, link, &error));
                 false
--- a/crates/cell/src/leader/progress_writer.rs
+++ b/crates/cell/src/leader/progress_writer.rs
@@ -1,4 +1,4 @@
-//! Writing the jobs' progress: one append at a time, fenced, each change once.
+//! Writes job progress: one fenced append at a time, each change exactly once.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -22,45 +22,46 @@
 use crate::ports::Topic;
 use crate::records;
 
-/// Name of the producer of progress.
+/// Producer name of progress records.
 const PRODUCER: &str = "scheduler";
 
-/// Most jobs whose progress shares one append.
+/// Maximum number of jobs in one append.
 const MAX_BATCH_JOBS: usize = 1_000;
 
-/// Wait after an append that failed.
+/// Delay before a failed append is retried.
 const RETRY_MS: u64 = 50;
 
-/// Records of jobs that have ended are removed this often: nothing waits for it.
+/// Interval for removing records of ended jobs; nothing waits for it.
 const REMOVE_INTERVAL_MS: u64 = 500;
 
-/// Most time that a scheduler that hands the role over takes to write what is left.
+/// Maximum time to write pending progress before handing over the role.
 const FINAL_WRITE_TIMEOUT_MS: u64 = 600;
 
-/// Partitions of the topic of progress. Where one takes nothing, the other does; a successor fences
+/// Partitions of the progress topic. If one rejects appends, the other is used; a successor fences
 /// and reads both.
 pub(super) const PROGRESS_PARTITIONS: u32 = 2;
 
-/// Appends that a partition refuses before the other is tried.
+/// Rejected appends before switching to the other partition.
 const MAX_REFUSALS: u32 = 2;
 
-/// A partition with an append in doubt is not written to again for this long: the store may carry an
-/// append out seconds late, and would then take the next of the same number for a repeat of it.
+/// Time for which a partition with an append in doubt is not used. The store may apply such an
+/// append seconds late, and would then drop the next one with the same sequence number as its
+/// duplicate.
 const IN_DOUBT_BLOCK_MS: u64 = 15_000;
 
-/// Where progress is written.
+/// Tracks which partition progress is written to.
 #[derive(Debug, Default)]
 pub(super) struct ProgressWriter {
     current: Cell<u32>,
     states: [PartitionState; 2],
 }
 
-/// What is known of a partition of the topic of progress.
+/// Write state of one progress partition.
 #[derive(Debug)]
 struct PartitionState {
-    /// Number of the next append.
+    /// Sequence number of the next append.
     sequence: Cell<u64>,
-    /// Not to be written to before this time.
+    /// Not written to before this time.
     blocked_until: Cell<Millis>,
 }
 
@@ -78,7 +79,7 @@
         &self.states[usize::from(partition > 0)]
     }
 
-    /// Leaves a partition for the other, where that may be written to. Says whether it did.
+    /// Switches to the other partition unless it is blocked. Returns whether it switched.
     fn switch_partition(&self, in_doubt: bool) -> bool {
         let partition = self.current.get();
         let other = (partition + 1) % PROGRESS_PARTITIONS;
@@ -89,7 +90,7 @@
         if in_doubt {
             let state = self.partition_state(partition);
             state.blocked_until.set(now.plus(IN_DOUBT_BLOCK_MS));
-            // The append in doubt may have used the number.
+            // The append in doubt may have consumed this number.
             state.sequence.set(state.sequence.get() + 1);
         }
         self.current.set(other);
@@ -98,7 +99,7 @@
     }
 }
 
-/// Writes progress whenever there is any.
+/// Writes pending progress until the role ends.
 pub(super) async fn write_progress<P>(leader: Rc<Leader<P>>)
 where
     P: Platform,
@@ -119,7 +120,8 @@
 where
     P: Platform,
 {
-    /// Makes the store refuse what predecessors have still to write. Says whether that was possible.
+    /// Makes the store reject further appends of predecessors. Returns false if this node was
+    /// fenced itself.
     pub(super) async fn fence_progress(&self) -> bool {
         let fences = (0..PROGRESS_PARTITIONS).map(|partition| self.fence_partition(partition));
         join_all(fences).await.into_iter().all(|fenced| fenced)
@@ -143,7 +145,7 @@
                     self.step_down("fenced_by_store");
                     return false;
                 }
-                // The epoch was set by an earlier try whose answer was lost.
+                // The epoch was already set by an earlier attempt whose response was lost.
                 Err(AppendError::OutOfSequence { expected }) => {
                     self.progress
                         .partition_state(partition)
@@ -157,15 +159,15 @@
         }
     }
 
-    /// Writes the progress of some jobs. Says whether there was any.
+    /// Writes one batch of progress. Returns whether there was anything to write.
     async fn write_batch(self: &Rc<Self>) -> bool {
         let day = self.node.settings.day_clock.read();
         let mut changed_jobs = self
             .scheduler
             .borrow_mut()
             .take_records(MAX_BATCH_JOBS, now(), day);
-        // A worker that is gone leaves the roster no sooner than what was concluded of it is stored: a successor that
-        // does not know its name can't conclude it again.
+        // A worker is removed from the roster only after all conclusions about its runs are stored:
+        // a successor that does not know the worker cannot reach them again.
         let is_last_batch = changed_jobs.len() < MAX_BATCH_JOBS;
         let roster = if is_last_batch {
             self.roster.pending_change(self.token)
@@ -216,14 +218,15 @@
         true
     }
 
-    /// Has the store take something where nothing else is to be written, if jobs wait for that. Says whether it did.
+    /// Makes an empty append to prove this scheduler's authority if jobs wait for such a proof and
+    /// there is nothing else to write. Returns whether it made one.
     async fn append_proof(self: &Rc<Self>) -> bool {
         let sent_at = now();
         if !self.scheduler.borrow().wants_proof(sent_at) {
             return false;
         }
         let jobs_added = self.scheduler.borrow().jobs_added();
-        // It appends nothing, so its number is not one of those of the appends.
+        // An empty append consumes no sequence number.
         let condition = self.producer_condition(PRODUCER, 0);
         let partition = self.progress.current.get();
         let taken = self
@@ -246,7 +249,7 @@
         true
     }
 
-    /// Asks for a proof if jobs wait for one, or soon will.
+    /// Requests a proof of authority if jobs need one now or soon.
     pub(crate) fn request_proof(&self) {
         if self.scheduler.borrow().wants_proof(now()) {
             self.progress_notify.notify_one();
@@ -263,7 +266,8 @@
         }
     }
 
-    /// Appends until the store has it. Returns when what it took was sent; none where the role is over.
+    /// Appends a batch, retrying until the store has it. Returns when the successful append was
+    /// sent, or `None` if the role has ended.
     async fn append_progress(&self, batch: &[Record]) -> Option<Millis> {
         let writer = &self.progress;
         let mut refusals = 0;
@@ -291,7 +295,8 @@
                     continue;
                 }
                 Err(AppendError::InDoubt(_)) => {
-                    // Elsewhere the number stays: the store takes the same append once only.
+                    // If it stays on this partition, it keeps the sequence number, so the store
+                    // deduplicates the retry.
                     if writer.switch_partition(true) {
                         continue;
                     }
@@ -307,10 +312,10 @@
         }
     }
 
-    /// Removes the progress of jobs that nobody can ask for any more.
+    /// Removes the progress of jobs that can no longer be queried.
     ///
-    /// What was submitted of a job must be gone before: a successor that read it without its progress would
-    /// run the job again.
+    /// The submitted records of a job must be removed first: a successor that reads them without
+    /// its progress would run the job again.
     async fn remove_progress(&self) {
         let ids = self.take_removable_progress();
         if ids.is_empty() {
@@ -323,7 +328,7 @@
                 .append(Topic::Progress, partition, &removals, &Condition::None)
                 .await;
             if removed.is_err() {
-                // The next round removes them; until then they take a little of the store's room.
+                // Retried in the next round; until then they only take up space in the store.
                 self.progress_to_remove.borrow_mut().extend(ids);
                 return;
             }
@@ -334,14 +339,15 @@
         let partitions_by_job = self.partitions_by_job.borrow();
         let scheduler = self.scheduler.borrow();
         let mut progress_to_remove = self.progress_to_remove.borrow_mut();
-        // A job that was submitted once more is the scheduler's to forget again.
+        // A job that was submitted again is known to the scheduler, which will ask for its removal
+        // later.
         progress_to_remove.retain(|id| scheduler.state_of(*id).is_none());
         progress_to_remove
             .extract_if(.., |id| !partitions_by_job.contains_key(id))
             .collect()
     }
 
-    /// Waits until what is known now is written, or the time for that is over.
+    /// Waits until pending progress is written, up to a time limit.
     pub(super) async fn flush_progress(self: &Rc<Self>) {
         let until = now().plus(FINAL_WRITE_TIMEOUT_MS);
         while now() < until && self.scheduler.borrow().has_records() {
@@ -351,7 +357,7 @@
     }
 }
 
-/// Removes what was submitted of jobs that have ended.
+/// Periodically removes the records of jobs that have ended.
 pub(super) async fn remove_ended_jobs<P>(leader: Rc<Leader<P>>)
 where
     P: Platform,
@@ -374,7 +380,8 @@
                 .append(Topic::Jobs, partition, &removals, &Condition::None)
                 .await;
             if removed.is_err() {
-                // A later removal does no harm, and none is needed before the job is forgotten.
+                // Retried in the next round. A late removal does no harm: it is only needed before
+                // the job's progress is removed.
                 for id in ids {
                     leader.track_job_partition(id, partition);
                     leader.specs_to_remove.borrow_mut().push(id);
--- a/crates/cell/src/leader/readers.rs
+++ b/crates/cell/src/leader/readers.rs
@@ -1,4 +1,4 @@
-//! Following the store: jobs that were submitted or cancelled, workers that come and go.
+//! Follows the store: submitted and cancelled jobs, and changes to the worker list.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -24,22 +24,22 @@
 use crate::unreadable::NAMELESS;
 use crate::unreadable::Source;
 
-/// Wait after a read that failed.
+/// Delay before a failed read is retried.
 const RETRY_MS: u64 = 60;
 
-/// What a read of a partition of jobs came to.
+/// Outcome of reading a jobs partition.
 #[derive(Debug, Clone, Copy)]
 struct JobsRead {
-    /// Offset from which to read on.
+    /// Offset of the next read.
     next: u64,
-    /// Whether nothing was left to read when the store answered.
+    /// Whether the read reached the end of the partition.
     reached_end: bool,
 }
 
-/// Follows one partition of the topic of jobs.
+/// Follows one partition of the jobs topic.
 ///
-/// What is known of it is as old as the question, not as the answer: dated by the answer, "no such job" could
-/// be said of a job that was accepted long enough ago to be known.
+/// A read counts as of when it was sent. If it counted as of its answer, a job that was accepted in
+/// between, and long enough ago to be known, could be reported as nonexistent.
 pub(super) async fn follow_jobs<P>(leader: Rc<Leader<P>>, partition: u32, mut from: u64)
 where
     P: Platform,
@@ -60,8 +60,8 @@
     }
 }
 
-/// Takes what a partition of jobs has from an offset on; none where the store does not tell, which the call
-/// has logged.
+/// Reads a jobs partition from an offset and applies the records. Returns `None` if the read
+/// failed, which the call has already logged.
 async fn read_jobs<P>(leader: &Rc<Leader<P>>, partition: u32, from: u64) -> Option<JobsRead>
 where
     P: Platform,
@@ -101,10 +101,10 @@
 where
     P: Platform,
 {
-    /// Takes a record that the store has: a job, or the cancelling of one.
+    /// Applies a stored record: a job or a cancellation.
     pub(crate) fn apply_job_record(self: &Rc<Self>, partition: u32, record: &Record) {
         if !self.loaded.get() {
-            // It will be read with all the others.
+            // The takeover will read it along with all other records.
             return;
         }
         match read_job(record) {
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Remembers where records of a job are, until they are removed.
+    /// Remembers which partitions hold records of a job until they are removed.
     pub(super) fn track_job_partition(&self, id: JobId, partition: u32) {
         let mut partitions_by_job = self.partitions_by_job.borrow_mut();
         let partitions = partitions_by_job.entry(id).or_default();
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Returns the time since a job was accepted: by the clocks of two nodes, yet no more than has passed
-    /// since its partition was read without it.
+    /// Returns the age of a job. It is the difference between the clocks of two nodes, so it is
+    /// capped by the time since the job's partition was last read without it.
     fn age_ms(&self, partition: u32, spec: &JobSpec) -> u64 {
         let index = usize::try_from(partition).unwrap_or(usize::MAX);
         let read_at = self.jobs_read_at.borrow().get(index).copied();
@@ -166,7 +166,7 @@
     }
 }
 
-/// Follows the list of workers.
+/// Follows the worker list.
 pub(super) async fn follow_workers<P>(leader: Rc<Leader<P>>, mut from: u64)
 where
     P: Platform,
@@ -198,7 +198,7 @@
     }
 }
 
-/// Takes the whole list: who is not on it any more is registered no more.
+/// Applies a complete worker list. Workers missing from it are no longer registered.
 fn apply_worker_list<P>(leader: &Rc<Leader<P>>, newest: &Newest)
 where
     P: Platform,
@@ -214,11 +214,12 @@
     }
 }
 
-/// Takes one record of the list. Returns the life of a worker that it names, if that is to be used.
+/// Applies one record of the worker list. Returns the id of the worker incarnation it describes, if
+/// usable.
 ///
-/// The list may have records of another writer. One that can't be read, or names a service that nobody
-/// configured, names no worker to use: nothing new starts there, and what runs there is settled as for any
-/// worker that is listed no more.
+/// Other software may write to the list. An entry that is unreadable or names an unconfigured
+/// service is treated as if the worker were no longer listed: nothing new starts there, and its
+/// current runs are settled as usual.
 pub(super) fn apply_worker_record<P>(leader: &Rc<Leader<P>>, record: &Record) -> Option<WorkerId>
 where
     P: Platform,
--- a/crates/cell/src/leader/retry_report.rs
+++ b/crates/cell/src/leader/retry_report.rs
@@ -1,4 +1,4 @@
-//! What a takeover waits for, told to the log now and then.
+//! Rate-limited logging of retries during a takeover.
 
 use std::fmt::Display;
 
@@ -8,10 +8,10 @@
 use crate::log;
 use crate::ports::Topic;
 
-/// A wait that goes on is told this often.
+/// Minimum time between two log lines about the same operation.
 const REPORT_INTERVAL_MS: u64 = 1_000;
 
-/// Tries of a takeover to get something of a partition.
+/// Failed attempts of a takeover to access a partition.
 #[derive(Debug)]
 pub(crate) struct RetryReport {
     pub(crate) topic: Topic,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Takes note that a try failed; the first is told at once.
+    /// Counts a failed attempt and logs it, unless one was logged recently.
     pub(super) fn report_failure<E>(&mut self, token: u64, step: &'static str, error: &E)
     where
         E: Display,
--- a/crates/cell/src/leader/roster.rs
+++ b/crates/cell/src/leader/roster.rs
@@ -1,9 +1,9 @@
-//! The workers that may run something of a scheduler, as its successor reads them in the store.
+//! The roster: workers that may be running tasks, recorded in the store for a successor.
 //!
-//! The platform's list alone won't do: entries of workers that live lapse while the store is away.
-//! A successor that does not ask such a worker starts its tasks a second time. So a worker gets no
-//! order before the store has its name here, and it stays here until nothing that was ordered can
-//! still run on it.
+//! The platform's worker list is not enough: entries of live workers expire while the store is
+//! unavailable, and a successor that does not query such a worker starts its tasks a second time. A
+//! worker therefore gets no order before the store has it in the roster, and it stays there until
+//! nothing that was ordered can still run on it.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -22,28 +22,28 @@
 use crate::records;
 use crate::records::RosterRecord;
 
-/// The workers, and how much of them the store has.
+/// The workers of the roster and which of them are recorded in the store.
 #[derive(Debug, Default)]
 pub(super) struct Roster {
     members: RefCell<BTreeMap<WorkerId, Member>>,
-    /// The life that the platform's list has of each worker, by the worker's key there.
+    /// The incarnation in the platform's list, by the worker's key there.
     incarnations: RefCell<BTreeMap<SmolStr, WorkerId>>,
     /// Number of the latest change.
     latest_change: Cell<u64>,
-    /// Number of the latest change that the store has.
+    /// Number of the latest change that is recorded in the store.
     recorded: Cell<u64>,
 }
 
 #[derive(Debug)]
 struct Member {
     spec: WorkerSpec,
-    /// Whether the platform's list names it, as far as is known.
+    /// Whether it was last seen in the platform's list.
     listed: bool,
     /// Number of the change that added it.
     added_in: u64,
 }
 
-/// A roster that is to be written.
+/// A version of the roster to be written.
 #[derive(Debug)]
 pub(super) struct RosterChange {
     pub(super) records: Vec<Record>,
@@ -51,7 +51,7 @@
 }
 
 impl Roster {
-    /// Takes what a predecessor left in the store.
+    /// Adds the workers that a predecessor recorded in the store.
     pub(super) fn restore<'a, I>(&self, stored: I)
     where
         I: IntoIterator<Item = &'a WorkerSpec>,
@@ -67,7 +67,8 @@
         }
     }
 
-    /// Takes a worker that is listed. Says whether the store has it, so that it may get orders.
+    /// Adds or updates a listed worker. Returns whether the store has it, so that it may get
+    /// orders.
     fn list(&self, spec: &WorkerSpec) -> bool {
         let mut members = self.members.borrow_mut();
         if let Some(member) = members.get_mut(&spec.id) {
@@ -84,8 +85,8 @@
         false
     }
 
-    /// Takes note that a worker is not listed: one that never got an order is of no interest. Says whether
-    /// that is news.
+    /// Marks a worker as not listed, and removes it if it was never recorded and thus got no
+    /// orders. Returns whether it was listed before.
     fn unlist(&self, id: &WorkerId) -> bool {
         let mut members = self.members.borrow_mut();
         let Some(member) = members.get_mut(id) else {
@@ -99,14 +100,14 @@
         was_listed
     }
 
-    /// Removes a worker on which nothing can run.
+    /// Removes a worker on which no task can be running.
     pub(super) fn remove(&self, id: &WorkerId) {
         if self.members.borrow_mut().remove(id).is_some() {
             self.next_change();
         }
     }
 
-    /// Takes note of the life that is listed of a worker. Returns the one that was listed before, if it is another.
+    /// Sets the incarnation listed under a key. Returns the previous one if it differs.
     fn set_incarnation(&self, key: &str, id: Option<&WorkerId>) -> Option<WorkerId> {
         let mut incarnations = self.incarnations.borrow_mut();
         let previous = match id {
@@ -121,12 +122,12 @@
         self.latest_change.get()
     }
 
-    /// Returns all of its workers.
+    /// Returns the ids of all workers in the roster.
     pub(super) fn ids(&self) -> Vec<WorkerId> {
         self.members.borrow().keys().cloned().collect()
     }
 
-    /// Returns what the store does not have yet, if there is anything.
+    /// Returns the current roster if the store does not have it yet.
     pub(super) fn pending_change(&self, token: u64) -> Option<RosterChange> {
         let number = self.latest_change.get();
         if number == self.recorded.get() {
@@ -144,7 +145,7 @@
         })
     }
 
-    /// Takes note that the store has a change. Returns the workers that may get orders now.
+    /// Marks a change as stored. Returns the workers that may now get orders.
     fn mark_recorded(&self, number: u64) -> Vec<WorkerSpec> {
         let previous = self.recorded.replace(number);
         let members = self.members.borrow();
@@ -159,7 +160,7 @@
 where
     P: Platform,
 {
-    /// Takes a worker that is listed under a key; it gets orders once the store has it in the roster.
+    /// Handles a worker listed under a key. It gets orders once the store has it in the roster.
     pub(super) fn list_worker(self: &Rc<Self>, key: &str, spec: WorkerSpec) {
         if let Some(previous) = self.roster.set_incarnation(key, Some(&spec.id)) {
             self.unlist_incarnation(previous);
@@ -171,28 +172,28 @@
         }
     }
 
-    /// Takes note that no worker is listed under a key.
+    /// Handles a key under which no usable worker is listed any more.
     pub(super) fn unlist_worker(self: &Rc<Self>, key: &str) {
         let previous = self.roster.set_incarnation(key, None);
-        // A predecessor may have listed one whose life nobody told.
+        // A predecessor may have recorded it under an id without incarnation.
         self.unlist_incarnation(previous.unwrap_or_else(|| WorkerId::of_life(key, None)));
     }
 
-    /// Takes note that a life of a worker is not listed. Only the first time is news: an entry that can't be used is
-    /// written again with every heartbeat of its writer.
+    /// Handles an incarnation that is no longer listed. It is reported only once: an unusable entry
+    /// is rewritten with every heartbeat of its writer.
     pub(super) fn unlist_incarnation(self: &Rc<Self>, id: WorkerId) {
         if self.roster.unlist(&id) {
             self.report_unlisted(id);
         }
     }
 
-    /// Tells the scheduler that a worker is not listed.
+    /// Reports to the scheduler that a worker is not listed.
     pub(super) fn report_unlisted(self: &Rc<Self>, id: WorkerId) {
         log::worker_listed(&id, "unlisted");
         self.apply(Event::WorkerUnlisted(id));
     }
 
-    /// Takes note that the store has a change of the roster.
+    /// Handles a roster change that has been stored.
     pub(super) fn apply_roster_recorded(self: &Rc<Self>, change: &RosterChange) {
         for spec in self.roster.mark_recorded(change.number) {
             self.apply(Event::WorkerListed(spec));
--- a/crates/cell/src/leader/sessions.rs
+++ b/crates/cell/src/leader/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions with workers: one renewal after the other keeps the leases and brings what ended.
+//! Worker sessions: a loop of renewals extends the leases and collects the runs that ended.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,16 +19,16 @@
 use crate::ports::WorkerAddress;
 use crate::unreadable::Source;
 
-/// Longest time that a renewal waits for the ends before it to be written.
+/// Maximum time that a renewal waits until previously reported ends are written.
 const WRITE_WAIT_MS: u64 = 150;
 
-/// Wait after a renewal without an answer; doubled up to the limit.
+/// Backoff after a failed renewal; it doubles up to the limit.
 const RETRY_MS: u64 = 60;
 
-/// Longest such wait.
+/// Maximum backoff after failed renewals.
 const MAX_RETRY_MS: u64 = 400;
 
-/// A session with a worker.
+/// A session with one worker.
 #[derive(Debug)]
 pub(super) struct Session {
     link: Rc<WorkerLink>,
@@ -36,19 +36,19 @@
 }
 
 impl Session {
-    /// Ends it.
+    /// Aborts the renewal task.
     pub(super) fn abort(&self) {
         if let Some(task) = &self.task {
             task.abort();
         }
     }
 
-    /// Returns what orders to the worker need.
+    /// Returns the link for sending orders to the worker.
     pub(super) fn link(&self) -> Rc<WorkerLink> {
         Rc::clone(&self.link)
     }
 
-    /// Returns which worker it is.
+    /// Returns the worker's id.
     pub(super) fn worker(&self) -> &WorkerId {
         &self.link.address.id
     }
@@ -64,7 +64,7 @@
             id: spec.id.clone(),
             address: spec.address.clone(),
         }));
-        // One whose name alone is known can't be asked.
+        // A worker without a known address cannot be queried.
         let has_address = !link.address.address.is_empty();
         let session = renew_leases(Rc::clone(self), worker, Rc::clone(&link));
         let session = Session {
@@ -74,7 +74,7 @@
         self.sessions.borrow_mut().insert(worker, session);
     }
 
-    /// Returns the time that half of the workers are given at most to answer a renewal.
+    /// Returns the median of the slack that workers are given to answer a renewal.
     pub(super) fn median_slack_ms(&self) -> u64 {
         let sessions = self.sessions.borrow();
         let slacks_ms = sessions
@@ -85,7 +85,7 @@
         slacks_ms.get(slacks_ms.len() / 2).copied().unwrap_or(0)
     }
 
-    /// Returns the time that the answer of a worker to a renewal is given beyond the wait that it asks for.
+    /// Returns how long to wait for the answer to a renewal beyond the wait it requests.
     fn renewal_slack_ms(&self, link: &WorkerLink) -> u64 {
         let settings = &self.node.settings;
         let min_slack_ms = settings.timing.renewal_slack_ms;
@@ -106,13 +106,15 @@
         }
     }
 
-    /// Returns how long the worker may wait for an end before it reports.
+    /// Returns how long the worker may hold a renewal open, waiting for a run to end.
     fn renewal_wait_ms(&self, worker: WorkerKey) -> u64 {
         let default_ms = self.node.settings.timing.renewal_wait_ms;
         self.scheduler.borrow().renewal_wait_ms(worker, default_ms)
     }
 
-    /// Waits for the ends that the worker listed to be written, so that it is told so at once.
+    /// Waits until the ends reported by the worker are written, so that the next renewal
+    /// acknowledges them. Returns the number of the latest end to acknowledge and whether unwritten
+    /// ends remain.
     async fn acknowledged_ends(&self, worker: WorkerKey) -> (u64, bool) {
         let (acknowledged, has_unwritten) = self.scheduler.borrow_mut().acknowledged_ends(worker);
         if !has_unwritten {
@@ -139,7 +141,8 @@
 {
     let lease_ms = leader.node.settings.lease_ms();
     let mut failures: u32 = 0;
-    // A worker answers at once as long as it lists an end: one that is not ours has to be forgotten too.
+    // A worker answers immediately while it lists unacknowledged ends, so ends that were skipped as
+    // unreadable have to be acknowledged too.
     let mut skipped_end = 0;
     loop {
         let (mut acknowledged, has_unwritten) = leader.acknowledged_ends(worker).await;
@@ -149,9 +152,9 @@
         if leader.ended.get() {
             return;
         }
-        // A worker that did not answer is only asked: each renewal may arrive, and would put off
-        // the time at which its leases have surely lapsed.
-        // One that takes no orders is only asked too, where its lease is let lapse on purpose.
+        // After a failure, renewals only query the worker and set no lease: any renewal may still
+        // arrive, and would delay the time at which the worker's leases have certainly expired. The
+        // same holds for a worker that takes no orders, whose lease is left to expire deliberately.
         let is_answering = failures == 0 && link.has_clock_reading();
         let may_renew = is_answering && leader.scheduler.borrow().may_renew(worker);
         let sent_at = now();
@@ -212,7 +215,8 @@
             Err(error) => {
                 failures += 1;
                 skipped_end = 0;
-                // What was not sent, or was cut, says nothing of how long an answer takes.
+                // Requests that were not sent or whose connection broke tell nothing about response
+                // times.
                 if matches!(error, OrderError::InDoubt(_)) && took_ms >= wait_ms + slack_ms {
                     answer_timeout.record(slack_ms);
                 }
--- a/crates/cell/src/leader/stages.rs
+++ b/crates/cell/src/leader/stages.rs
@@ -1,4 +1,4 @@
-//! How long jobs spend in each stage of their wait, by queue.
+//! Metrics of the time jobs spend in each stage, by queue.
 
 use syc_obs::Stage;
 use syc_sched::JobId;
@@ -13,23 +13,23 @@
 where
     P: Platform,
 {
-    /// Notes how long a job spent in a stage.
+    /// Records how long a job spent in a stage.
     pub(super) fn record_stage(&self, job: JobId, stage: Stage, time_ms: u64) {
         let scheduler = self.scheduler.borrow();
-        // A job that is forgotten already has no queue to count it under.
+        // A job that has already been forgotten has no queue to attribute the time to.
         if let Some(queue) = scheduler.queue_of(job) {
             self.node.metrics.stage(queue, stage, time_ms);
         }
     }
 
-    /// Notes how long a task waited for its first run.
+    /// Records how long a task waited for its first run.
     pub(super) fn record_room_stage(&self, order: &StartOrder) {
         if order.run == Run(1) && order.retries == 0 {
             self.record_stage(order.task.step.job, Stage::Room, order.ready_ms);
         }
     }
 
-    /// Notes the times that the scheduler's notes tell.
+    /// Records the durations contained in scheduler notes.
     pub(super) fn record_note_stages(&self, note: &Note) {
         match note {
             Note::RunEnded {
--- a/crates/cell/src/leader/takeover.rs
+++ b/crates/cell/src/leader/takeover.rs
@@ -1,4 +1,4 @@
-//! Taking over: predecessors are fenced off, then everything they left is read.
+//! Takeover: fences predecessors, then loads the state they left in the store.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -43,13 +43,13 @@
 use crate::records::read_job;
 use crate::unreadable::Source;
 
-/// Wait after a step that failed.
+/// Delay before a failed step is retried.
 const RETRY_MS: u64 = 60;
 
-/// Longest time by which a job is taken to have waited longer than another: clocks of VMs differ.
+/// Cap on the age difference between jobs, since the clocks of VMs differ.
 const MAX_AGE_DIFFERENCE_MS: u64 = 600_000;
 
-/// What predecessors left.
+/// The state that predecessors left in the store.
 #[derive(Debug)]
 struct StoredState {
     progress: Vec<Newest>,
@@ -57,7 +57,7 @@
     workers: Newest,
 }
 
-/// Does all that the role asks for, until it ends.
+/// Takes over the role and starts the tasks that serve it.
 pub(super) async fn take_over<P>(leader: Rc<Leader<P>>)
 where
     P: Platform,
@@ -95,7 +95,7 @@
     leader.spawn(Rc::clone(&leader).run_scheduling());
 }
 
-/// Reads everything at the same time. Predecessors are fenced off, so nothing ends meanwhile.
+/// Reads everything concurrently. Predecessors are fenced, so they record no further ends meanwhile.
 async fn read_stored_state<P>(leader: &Leader<P>) -> StoredState
 where
     P: Platform,
@@ -120,11 +120,10 @@
     join_all(reads).await
 }
 
-/// Reads a partition again and again until it answers. Only that one: the others need not be read once more
-/// for it.
+/// Reads a partition, retrying until it answers. Only this partition is read again, not the others.
 ///
-/// A read without an answer goes on beside the next one, and the first answer counts: a store that was
-/// silent never answers what was sent before it was back.
+/// An unanswered read is kept open alongside the next, and the first answer wins. A store that was
+/// unavailable never answers requests sent before it recovered.
 async fn read_with_retries<P>(leader: &Leader<P>, topic: Topic, partition: u32) -> Newest
 where
     P: Platform,
@@ -155,7 +154,7 @@
     }
 }
 
-/// Takes everything that was read. Returns the number of jobs whose progress was.
+/// Restores the scheduler from the stored state. Returns the number of jobs with progress.
 fn restore_all<P>(leader: &Rc<Leader<P>>, stored: &StoredState) -> usize
 where
     P: Platform,
@@ -194,13 +193,13 @@
     progress.len()
 }
 
-/// Takes the workers that are listed, and those that a predecessor may have given work to. Returns
-/// those of the latter that are not listed; they are asked what runs on them all the same.
+/// Restores listed workers and the roster of a predecessor. Returns the workers of the roster that
+/// are not listed; they are queried for running tasks all the same.
 fn restore_workers<P>(leader: &Rc<Leader<P>>, stored: &StoredState) -> Vec<WorkerId>
 where
     P: Platform,
 {
-    // An append in doubt can leave the same roster in both partitions.
+    // An append in doubt may have left the same roster in both partitions.
     let (roster, unreadable) = read_roster(leader, &stored.progress);
     let roster: BTreeMap<_, _> = roster
         .into_iter()
@@ -227,8 +226,8 @@
     unlisted
 }
 
-/// Stands for workers whose names can't be read. Like any that does not answer, it has the scheduler wait
-/// until no lease can be left before it starts what may run there.
+/// Creates a placeholder for workers in an unreadable part of the roster. As with any silent
+/// worker, the scheduler waits until no lease can remain before it starts tasks that may run there.
 fn placeholder_worker(key: &str) -> WorkerSpec {
     WorkerSpec {
         id: WorkerId::new(format_smolstr!("unreadable {key}")),
@@ -243,7 +242,7 @@
     }
 }
 
-/// Reads the latest roster. Returns its workers, and the keys of what can't be read of any.
+/// Reads the latest roster. Returns its workers and the keys of unreadable parts.
 fn read_roster<P>(leader: &Leader<P>, partitions: &[Newest]) -> (Vec<WorkerSpec>, BTreeSet<SmolStr>)
 where
     P: Platform,
@@ -259,7 +258,7 @@
     (workers, keys)
 }
 
-/// Takes how far the waves are that a predecessor worked on.
+/// Restores the progress of waves that a predecessor worked on.
 fn restore_waves<P>(leader: &Rc<Leader<P>>, partitions: &[Newest])
 where
     P: Platform,
@@ -275,8 +274,8 @@
     }
 }
 
-/// Reads the latest progress of each job. One of which any record can't be read is held back: that record may
-/// be the latest. Only what has ended stays as it is, whatever was written after it.
+/// Reads the latest progress of each job. A job with any unreadable record is held back, since that
+/// record may be the latest, unless it has ended: no later record changes that.
 fn read_progress<P>(leader: &Leader<P>, partitions: &[Newest]) -> HashMap<JobId, JobProgress>
 where
     P: Platform,
@@ -325,7 +324,7 @@
     let now = now();
     let ended: Vec<_> = progress.iter().filter_map(ended_job).collect();
     scheduler.restore_ended(&ended, now);
-    // Which job waits longest is all that counts: no clock of this node is asked.
+    // Only the relative ages matter, so this node's clock is not used.
     let newest = specs.iter().map(|spec| spec.accepted_at_ms).max();
     let newest = newest.unwrap_or_default();
     for spec in specs {
--- a/crates/cell/src/leader/unreadable_jobs.rs
+++ b/crates/cell/src/leader/unreadable_jobs.rs
@@ -1,8 +1,9 @@
-//! Jobs of which something in the store can't be read: nothing of them starts here, and nobody hears that
-//! they do not exist.
+//! Jobs with unreadable records in the store. They are not started here, and are not reported as
+//! nonexistent.
 //!
-//! A node of another version wrote it. Without its progress, a job would begin anew, with tasks that are done;
-//! without its record, its submitter would hear that it was never accepted.
+//! Such records were written by a node of another version. Without its progress, a job would
+//! restart tasks that are already done; without its specification, its submitter would be told that
+//! it was never accepted.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -16,29 +17,29 @@
 /// The jobs that are held back.
 #[derive(Debug, Default)]
 pub(super) struct UnreadableJobs {
-    /// Those whose record can't be read.
+    /// Jobs with an unreadable specification.
     specs: RefCell<BTreeSet<JobId>>,
-    /// Those whose progress can't be read.
+    /// Jobs with unreadable progress.
     progress: RefCell<BTreeSet<JobId>>,
 }
 
 impl UnreadableJobs {
-    /// Says whether a job is held back.
+    /// Returns whether a job is held back.
     pub(super) fn contains(&self, id: JobId) -> bool {
         self.specs.borrow().contains(&id) || self.has_unreadable_progress(id)
     }
 
-    /// Says whether what was done of a job is not known.
+    /// Returns whether the progress of a job is unreadable.
     pub(super) fn has_unreadable_progress(&self, id: JobId) -> bool {
         self.progress.borrow().contains(&id)
     }
 
-    /// Takes note that what was done of a job is not known.
+    /// Marks the progress of a job as unreadable.
     pub(super) fn mark_progress_unreadable(&self, id: JobId) {
         self.progress.borrow_mut().insert(id);
     }
 
-    /// Takes note that the record of a job can be read, or is gone.
+    /// Clears the mark of a job whose specification is readable or was removed.
     pub(super) fn mark_spec_readable(&self, id: JobId) {
         self.specs.borrow_mut().remove(&id);
     }
@@ -48,7 +49,7 @@
 where
     P: Platform,
 {
-    /// Takes note of a record of a job that can't be read.
+    /// Marks the specification of a job as unreadable and reports it.
     pub(super) fn mark_spec_unreadable(&self, key: &str, reason: &str) {
         self.node.note_unreadable(Source::Jobs, key, reason);
         if let Ok(id) = key.parse() {
--- a/crates/cell/src/leader/vms.rs
+++ b/crates/cell/src/leader/vms.rs
@@ -1,4 +1,4 @@
-//! Orders about whole VMs, and what operators are told of them.
+//! VM orders and the status of waves reported to operators.
 
 use std::rc::Rc;
 
@@ -24,37 +24,37 @@
 use crate::ports::VmOrderError;
 use crate::unreadable::Source;
 
-/// Name of the producer of what operators are told.
+/// Producer name of status records.
 const PRODUCER: &str = "status";
 
-/// Wait after an append that failed.
+/// Delay before a failed append is retried.
 const RETRY_MS: u64 = 100;
 
-/// A call about VMs without an answer is given up after this time: above the answers of a slow platform.
+/// Timeout of VM calls; even a slow platform answers within it.
 const CALL_TIMEOUT_MS: u64 = 1_000;
 
-/// Most parts of a list of VMs: far beyond what a cell has.
+/// Maximum number of pages in a VM list, far more than a cell needs.
 const MAX_PAGES: usize = 200;
 
 impl<P> Leader<P>
 where
     P: Platform,
 {
-    /// Takes a wave that operators published.
+    /// Handles a wave that operators published.
     pub(crate) fn apply_wave(self: &Rc<Self>, wave: Wave, age_ms: u64) {
         if self.loaded.get() {
             self.apply(Event::WavePublished { wave, age_ms });
         }
     }
 
-    /// Takes the services that are on standby by the configuration in force.
+    /// Applies the standby services of the configuration in force.
     pub(crate) fn apply_standby(self: &Rc<Self>) {
         let configuration = self.node.configuration();
         let standby = configuration.map(|configuration| configuration.standby.clone());
         self.apply(Event::StandbySet(standby.unwrap_or_default()));
     }
 
-    /// Takes everything that operators published before this node became the scheduler.
+    /// Applies everything operators published before this node became the scheduler.
     pub(super) fn apply_published(self: &Rc<Self>) {
         self.apply_standby();
         let waves = self.node.waves.borrow().clone();
@@ -88,7 +88,7 @@
                 return Ok(vms);
             }
         }
-        Err(ListError("the list has no end".into()))
+        Err(ListError("the list of VMs has too many pages".into()))
     }
 
     pub(super) fn order_vm(self: &Rc<Self>, vm: VmId, duty: Duty) {
@@ -110,7 +110,8 @@
         let ordered = if self.lease_from(now()).is_some() {
             platform.order_vm(&command, CALL_TIMEOUT_MS).await
         } else {
-            // A successor may have given orders about the VM: one of an earlier scheduler must not come after them.
+            // A successor may already have sent orders for this VM, and this order must not follow
+            // them.
             Err(VmOrderError::InDoubt(POSSIBLY_SUPERSEDED))
         };
         let answer = match &ordered {
@@ -131,7 +132,7 @@
         });
     }
 
-    /// Has operators told how far a wave is.
+    /// Queues a status record about a wave for operators.
     pub(super) fn queue_wave_status(&self, wave: u64, completed: bool) {
         log::wave_told(wave, completed);
         let record = self.node.platform.wave_status(wave, completed);
@@ -139,7 +140,8 @@
         self.status_notify.notify_one();
     }
 
-    /// Appends one record until the store has it. Says whether it has.
+    /// Appends a record, retrying until the store has it. Returns false if this node no longer
+    /// holds the role.
     async fn append_status(&self, record: &Record, sequence: &mut u64) -> bool {
         loop {
             let condition = self.producer_condition(PRODUCER, *sequence);
@@ -157,14 +159,14 @@
                     return false;
                 }
                 Err(AppendError::OutOfSequence { expected }) => *sequence = expected,
-                // The number stays: the store takes the same append once only.
+                // The sequence number is kept, so the store deduplicates the retry.
                 Err(_noted) => pause(RETRY_MS).await,
             }
         }
     }
 }
 
-/// Writes what operators are told, in order.
+/// Writes queued status records in order.
 pub(super) async fn write_statuses<P>(leader: Rc<Leader<P>>)
 where
     P: Platform,
--- a/crates/cell/src/leader/worker_link.rs
+++ b/crates/cell/src/leader/worker_link.rs
@@ -1,4 +1,4 @@
-//! What is known of the way to a worker: its clock, how long its answers take, and the places that its orders have.
+//! The link to a worker: clock reading, response times, and limits on concurrent orders.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -14,21 +14,23 @@
 use crate::ports::OrderError;
 use crate::ports::WorkerAddress;
 
-/// Starts under way at one worker: each takes a connection, and workers bound those that they take.
+/// Maximum concurrent start orders per worker. Each occupies a connection, and workers limit how
+/// many they accept.
 const MAX_CONCURRENT_STARTS: usize = 3;
 
-/// Other orders under way at one worker: what ends a run never waits behind starts.
+/// Maximum concurrent other orders per worker. They are limited separately so that orders that end
+/// a run never queue behind starts.
 const MAX_CONCURRENT_CONTROLS: usize = 2;
 
-/// An order that found no connection free looks for one again after this time.
+/// Delay before an order that found no free connection tries again.
 const CONNECTION_RETRY_MS: u64 = 30;
 
-/// What an order does.
+/// The kind of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum OrderKind {
-    /// It starts a run.
+    /// Starts a run.
     Start,
-    /// It ends one, or changes its pace.
+    /// Stops a run or changes its pace.
     Control,
 }
 
@@ -39,13 +41,13 @@
     read_at: Millis,
 }
 
-/// The way to one worker.
+/// Connection state of one worker.
 #[derive(Debug)]
 pub(super) struct WorkerLink {
     pub(super) address: WorkerAddress,
-    /// For how long its answers are waited for.
+    /// Adaptive timeout for its answers.
     pub(super) answer_timeout: AdaptiveTimeout,
-    /// The worker's clock, as last read.
+    /// Last reading of the worker's clock.
     clock: Cell<Option<ClockReading>>,
     starts: Semaphore,
     controls: Semaphore,
@@ -62,7 +64,7 @@
         }
     }
 
-    /// Takes note of what the worker's clock has just shown.
+    /// Records a reading of the worker's clock.
     pub(super) fn record_clock(&self, clock_ms: u64) {
         self.clock.set(Some(ClockReading {
             clock_ms,
@@ -70,33 +72,35 @@
         }));
     }
 
-    /// Says whether the worker's clock was read.
+    /// Returns whether the worker's clock has been read.
     pub(super) const fn has_clock_reading(&self) -> bool {
         self.clock.get().is_some()
     }
 
-    /// Returns the end of a lease that counts from a time, on the worker's clock, if that was read.
+    /// Returns the end of a lease that starts at `from`, on the worker's clock, or `None` if the
+    /// clock has not been read.
     pub(super) fn lease_until_ms(&self, from: Millis, lease_ms: u64) -> Option<u64> {
         let reading = self.clock.get()?;
-        // It is taken to run as fast as this node's.
+        // Assumes that it runs at the same rate as this node's clock.
         let since_ms = from.since(reading.read_at);
         let before_ms = reading.read_at.since(from);
         let until_ms = reading.clock_ms.saturating_add(lease_ms);
         Some(until_ms.saturating_add(since_ms).saturating_sub(before_ms))
     }
 
-    /// Counts the orders that have a place.
+    /// Returns the number of orders in flight.
     pub(super) fn orders_in_flight(&self) -> usize {
         let free = self.starts.available_permits() + self.controls.available_permits();
         (MAX_CONCURRENT_STARTS + MAX_CONCURRENT_CONTROLS).saturating_sub(free)
     }
 
-    /// Sends an order once a place and a connection are free, and waits for its answer, at least for the time that a
-    /// sound worker needs.
+    /// Sends an order once a permit and a connection are available, and waits for its answer for at
+    /// least `min_timeout_ms`, which suffices for a healthy worker.
     ///
     /// # Errors
     ///
-    /// Fails as the call does, and where no place has become free: the order has not been sent then.
+    /// Returns the error of the call, or [`OrderError::NotSent`] if no permit became available in
+    /// time.
     pub(super) async fn send<F>(
         &self,
         kind: OrderKind,
@@ -111,13 +115,15 @@
         let _permit = self.acquire_permit(kind, timeout_ms).await?;
         let mut sent_at = now();
         let mut outcome = call(timeout_ms).await;
-        // One is free once another order has its answer, or may be opened soon.
+        // A connection becomes free when another order is answered, or when a new one may be
+        // opened.
         while matches!(outcome, Err(OrderError::NoConnection(_))) && now() < wait_until {
             pause(CONNECTION_RETRY_MS).await;
             sent_at = now();
             outcome = call(timeout_ms).await;
         }
-        // Orders without an answer may be lost: renewals tell how late answers are.
+        // Unanswered orders are not recorded, since they may be lost; renewals measure late
+        // answers.
         if matches!(outcome, Ok(()) | Err(OrderError::Refused(_))) {
             self.answer_timeout.record(now().since(sent_at));
         }
@@ -137,7 +143,7 @@
         match tokio::time::timeout(timeout, permits.acquire()).await {
             Ok(Ok(permit)) => Ok(permit),
             Ok(Err(_)) | Err(_) => Err(OrderError::NotSent(SmolStr::new_static(
-                "others to the worker were under way for too long",
+                "timed out waiting for other orders to the worker",
             ))),
         }
     }
--- a/crates/cell/tests/cell/roster.rs
+++ b/crates/cell/tests/cell/roster.rs
@@ -1,4 +1,4 @@
-//! The workers that a scheduler may give work to, as they are kept in the store.
+//! Encoding of the worker roster in the store.
 
 use syc_cell::ports::Record;
 use syc_cell::records::RosterRecord;
@@ -45,7 +45,8 @@
 fn leftover_parts_of_an_older_roster_are_ignored(token: u64, change: u64) {
     let older = roster(&roster_of(450, 7, 1));
     let newer = roster(&roster_of(3, token, change));
-    // The store keeps the newest record of each key: what the newer one has fewer parts stays.
+    // The store keeps the newest record of each key, so parts that the newer roster does not
+    // overwrite remain.
     let mut kept = newer;
     let rest: Vec<_> = older
         .into_iter()
--- a/crates/cell/tests/cell/stages.rs
+++ b/crates/cell/tests/cell/stages.rs
@@ -1,4 +1,4 @@
-//! Where the time of a job went can be read off the metrics.
+//! The metrics report the time a job spends in each stage.
 
 use syc_obs::CellReadings;
 use syc_sched::JobState;
--- a/crates/cell/tests/cell/takeover.rs
+++ b/crates/cell/tests/cell/takeover.rs
@@ -1,4 +1,4 @@
-//! The scheduler ends, as planned or not, and another goes on.
+//! Takeover of the scheduler role after planned and unplanned ends.
 
 use std::net::TcpListener;
 use std::time::Duration;
@@ -74,7 +74,8 @@
     let first = cluster.scheduler();
     cluster.submit(first, 1, vec![step(1, 20)]);
     cluster.wait_for_state(first, 1, JobState::Completed);
-    // The store has the job before it is due, and nothing of its start: the worker alone knows of that.
+    // The store has the job before it is due but nothing about its start, which only the worker
+    // knows of.
     let timed = JobSpec {
         schedule: Schedule {
             occurrences: 1,
@@ -97,7 +98,7 @@
             busy.map(|worker| worker.id.clone())
         })
     });
-    // Its entry lapses, as it does while the store is away.
+    // The worker's entry expires, as it does while the store is unavailable.
     cluster.platform.unlist(&worker);
     cluster.kill(first);
     cluster.platform.set_faults(SharedFaults::default());
@@ -111,7 +112,7 @@
     let mut cluster = Cluster::start(2, 1);
     let first = cluster.scheduler();
     let other = 1 - first;
-    // The other node has been in touch with the scheduler once it is answered by it.
+    // After this answer, the other node has been in contact with the scheduler.
     cluster.submit(other, 1, vec![step(1, 20)]);
     cluster.wait_for_state(other, 1, JobState::Completed);
     cluster.kill(other);
@@ -119,7 +120,7 @@
         cut_off: [node_name(first).into()].into(),
         ..SharedFaults::default()
     });
-    cluster.wait("the end of the role", || {
+    cluster.wait("the scheduler to step down", || {
         let is_scheduler = cluster.on(first, |node| async move { node.is_scheduler() });
         (!is_scheduler).then_some(())
     });
@@ -142,8 +143,9 @@
     assert!(low_bandwidth.claim_delay_ms() > 2 * latest_high_bandwidth_claim_ms);
 }
 
-/// All nodes wait for the first configuration. Once it is there, one with a thin link was as likely to be chosen as
-/// any: what it reads and writes as the scheduler then took several times as long as the store needed.
+/// All nodes wait for the first configuration. If a node with low bandwidth could claim the role as
+/// early as the others when it arrives, its reads and writes as the scheduler would take several
+/// times as long as the store needs.
 #[test]
 fn a_node_with_high_bandwidth_is_chosen_on_the_first_configuration() {
     let timing = Timing {
@@ -173,8 +175,9 @@
     cluster.assert_sound();
 }
 
-/// A heartbeat that was carried out and not answered has the number that the next append would get: a release
-/// under that number is never seen, and the others wait until the silence is long enough.
+/// A heartbeat that was stored but not answered has used the sequence number that the next append
+/// would get. A release under that number would be dropped, and the other nodes would take over
+/// only after the silence timeout.
 #[test]
 fn a_release_takes_effect_at_once_while_a_heartbeat_is_unanswered() {
     let timing = Timing {
--- a/crates/cell/tests/cell/vms.rs
+++ b/crates/cell/tests/cell/vms.rs
@@ -1,4 +1,4 @@
-//! Waves of upkeep and pools on standby, over whole nodes.
+//! Maintenance waves and standby pools, tested with whole nodes.
 
 use syc_cell::Configuration;
 use syc_sched::JobState;
@@ -30,7 +30,7 @@
     }
 }
 
-/// A cell of three nodes over workers on VMs.
+/// Starts a cell of three nodes with workers on VMs.
 fn cluster_on_vms(vms: usize) -> Cluster {
     let cluster = Cluster::start(3, 0);
     for index in 0..vms {
@@ -58,7 +58,9 @@
     let cluster = cluster_on_vms(3);
     cluster.scheduler();
     cluster.platform.publish_wave(wave(3));
-    cluster.wait("the wave to be told", || cluster.platform.wave_told(WAVE));
+    cluster.wait("the wave to be reported", || {
+        cluster.platform.wave_told(WAVE)
+    });
     wait_until_completed(&cluster);
     assert_eq!(cluster.platform.with_vms(|vms| vms.upkeeps()), 3);
     assert_sound(&cluster);
@@ -109,7 +111,7 @@
     let node = cluster.scheduler();
     // Each task takes a quarter of a VM.
     cluster.submit(node, 1, vec![step(16, 4_000)]);
-    cluster.wait("a VM to come", || {
+    cluster.wait("a standby VM to be added", || {
         cluster.platform.with_vms(|vms| {
             let pools = (1..4).filter_map(|index| vms.pool_of(&vm(index)));
             let added = pools.filter(|pool| pool.as_str() == QUEUE);
--- a/crates/cell/tests/cell/workers.rs
+++ b/crates/cell/tests/cell/workers.rs
@@ -1,4 +1,4 @@
-//! Workers that crash and come back.
+//! Workers that crash, restart, fall silent or have unreadable entries.
 
 use syc_cell::Configuration;
 use syc_cell::PendingAnswer;
@@ -15,7 +15,7 @@
 use crate::cluster::step;
 use crate::cluster::worker;
 
-/// Submits so many jobs of two short tasks each, and waits until all are completed.
+/// Submits `count` jobs of two short tasks each and waits until all are completed.
 fn complete_jobs(cluster: &Cluster, node: usize, count: u64) {
     for id in 1..=count {
         cluster.submit(node, id, vec![step(2, 20)]);
@@ -25,7 +25,8 @@
     }
 }
 
-/// A worker that crashed is another incarnation when it is back: what ran on the first is over.
+/// A worker that restarts after a crash is a new incarnation, and everything that ran on the old
+/// one is over.
 #[test]
 fn tasks_of_a_crashed_worker_restart_on_its_next_incarnation() {
     let cluster = Cluster::start(2, 1);
@@ -43,7 +44,8 @@
     cluster.assert_sound();
 }
 
-/// A successor that leaves out a worker because of its entry never learns what runs there.
+/// A successor that ignored a worker because of its unreadable entry would never learn what runs
+/// there.
 #[test]
 fn a_successor_queries_a_worker_with_an_unreadable_entry_but_starts_nothing_there() {
     let mut cluster = Cluster::start(2, 1);
@@ -59,7 +61,7 @@
     assert_eq!(
         waiting,
         PendingAnswer::Known(1),
-        "it would go to the worker"
+        "the only worker has an unreadable entry"
     );
     cluster.platform.register(WorkerSpec {
         id: WorkerId::new("w-1"),
@@ -73,7 +75,7 @@
 fn a_worker_with_an_unreadable_entry_finishes_its_tasks_and_gets_no_new_ones() {
     let cluster = Cluster::start(2, 1);
     let node = cluster.scheduler();
-    // Longer than a lease: it is renewed all the while.
+    // Runs longer than a lease, so the lease has to be renewed meanwhile.
     cluster.submit(node, 1, vec![step(2, 8_000)]);
     cluster.wait_for_state(node, 1, JobState::Running);
     cluster.platform.spoil_entry(worker(0).id.as_str());
@@ -87,7 +89,11 @@
     cluster.submit(node, 2, vec![step(1, 20)]);
     cluster.wait_for_state(node, 1, JobState::Completed);
     let waiting = cluster.on(node, |node| async move { node.pending(QUEUE).await });
-    assert_eq!(waiting, PendingAnswer::Known(1), "nothing new went there");
+    assert_eq!(
+        waiting,
+        PendingAnswer::Known(1),
+        "the job must not start on the worker"
+    );
     cluster.platform.register(WorkerSpec {
         id: WorkerId::new("w-1"),
         ..worker(1)
@@ -96,7 +102,8 @@
     cluster.assert_sound();
 }
 
-/// Its tasks start again only where they surely run no more; the judge sees one that runs twice.
+/// Tasks may be restarted only once they certainly no longer run on the silent worker. The run
+/// judge detects a task that runs twice.
 #[test]
 fn tasks_of_a_silent_worker_with_an_unreadable_entry_restart_only_after_its_lease() {
     let cluster = Cluster::start(2, 1);
@@ -121,7 +128,8 @@
     cluster.assert_sound();
 }
 
-/// It answers renewals all the while. A node that asked it again without any wait sent it a thousand a second.
+/// The worker keeps answering renewals. A node that queried it again without a delay sent a
+/// thousand renewals per second.
 #[test]
 fn tasks_of_a_worker_that_resets_orders_run_elsewhere_after_its_lease() {
     let cluster = Cluster::start(2, 2);
@@ -165,7 +173,8 @@
     cluster.assert_sound();
 }
 
-/// Renewals and orders were given up before their answers came, so that each worker counted as silent for good.
+/// Guards against timeouts below the response time: renewals and orders were abandoned before their
+/// answers arrived, and each worker counted as silent permanently.
 #[test]
 fn workers_that_answer_late_still_get_tasks() {
     let cluster = Cluster::start(2, 2);
@@ -178,8 +187,8 @@
     cluster.assert_sound();
 }
 
-/// It was taken as not sent, its run as ended, and its worker got nothing for a while: what a worker that is slow to
-/// answer was given was given up over and over.
+/// Without waiting, the start counted as not sent, its run as ended, and its worker got no tasks
+/// for a while, so starts on a slow worker were abandoned over and over.
 #[test]
 fn a_start_waits_for_a_free_connection() {
     let cluster = Cluster::start(2, 1);
--- a/crates/retry/src/backoff.rs
+++ b/crates/retry/src/backoff.rs
@@ -1,14 +1,14 @@
-//! How long a repeat waits.
+//! Exponential backoff with jitter.
 
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-/// Most times that a wait doubles; each limit is reached long before.
+/// Maximum number of doublings; any limit in use is reached long before.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// Returns the wait before a repeat: it doubles with each one up to a limit, and half of it is jitter, which
-/// `seed` decides.
+/// Returns the delay before a retry. It doubles with each attempt up to a limit, and half of it is
+/// jitter derived from `seed`.
 #[must_use]
 pub fn backoff_ms(base_ms: u64, max_ms: u64, attempt: u32, seed: u64) -> u64 {
     let doubled_ms = base_ms.saturating_mul(1 << attempt.min(MAX_DOUBLINGS));
--- a/crates/retry/src/budget.rs
+++ b/crates/retry/src/budget.rs
@@ -1,22 +1,22 @@
-//! How many repeats there may be.
+//! A budget for retries.
 
 use syc_types::Millis;
 
-/// One token, in the unit in which tokens are counted.
+/// Units of account per token.
 const UNITS_PER_TOKEN: u64 = 1_000;
 
-/// A token bucket that pays for repeats: it fills with time, and with each success.
+/// A token bucket that pays for retries. It refills over time and with each success.
 #[derive(Debug, Clone, Copy)]
 pub struct Budget {
     burst: u64,
     refill_per_s: u64,
-    /// In thousandths of a token.
+    /// Tokens left, in thousandths.
     tokens: u64,
     refilled_at: Millis,
 }
 
 impl Budget {
-    /// Makes a full bucket of so many tokens that gets so many back a second.
+    /// Creates a full bucket of `burst` tokens that refills at `refill_per_s` tokens per second.
     #[must_use]
     pub const fn new(burst: u64, refill_per_s: u64) -> Self {
         Self {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Says whether a token is left.
+    /// Refills the bucket up to now and returns whether a token is left.
     pub fn has_token(&mut self, now: Millis) -> bool {
         let refilled = now
             .since(self.refilled_at)
@@ -37,7 +37,7 @@
         self.tokens >= UNITS_PER_TOKEN
     }
 
-    /// Takes a token if one is left, and says whether one was.
+    /// Takes a token if one is left. Returns whether it did.
     pub fn take(&mut self, now: Millis) -> bool {
         let has_token = self.has_token(now);
         if has_token {
@@ -46,12 +46,12 @@
         has_token
     }
 
-    /// Gives a token back.
+    /// Returns a token to the bucket.
     pub fn refund(&mut self) {
         self.add(UNITS_PER_TOKEN);
     }
 
-    /// Gives a part of a token back, in thousandths.
+    /// Returns a fraction of a token to the bucket, in thousandths.
     pub fn refund_per_mille(&mut self, per_mille: u64) {
         self.add(per_mille);
     }
--- a/crates/retry/src/lib.rs
+++ b/crates/retry/src/lib.rs
@@ -1,8 +1,9 @@
-//! When something is given up, when it is sent again, and how often: timeouts that follow the other side's answers,
-//! exponential backoff with equal jitter, and token buckets.
+//! Timeouts that adapt to response times, exponential backoff with equal jitter, and token buckets
+//! for retries.
 //!
-//! All are of the published forms: the estimator of Jacobson and Karels (RFC 6298), M. Brooker, "Exponential Backoff And
-//! Jitter" (AWS, 2015), and the retry budgets of Finagle and gRPC, where each success pays for a part of a later repeat.
+//! They follow published designs: the estimator of Jacobson and Karels (RFC 6298), M. Brooker,
+//! "Exponential Backoff And Jitter" (AWS, 2015), and the retry budgets of Finagle and gRPC, where
+//! each success pays for a fraction of a later retry.
 
 mod backoff;
 mod budget;
--- a/crates/retry/src/timeout_estimator.rs
+++ b/crates/retry/src/timeout_estimator.rs
@@ -1,33 +1,34 @@
-//! For how long an answer is waited for.
+//! Timeouts estimated from response times.
 
-/// Part of a sample by which the smoothed time moves towards it: one in so many.
+/// Divisor of a sample's weight in the smoothed response time.
 const SMOOTHING_DIVISOR: u64 = 8;
 
-/// Part by which the deviation does.
+/// Divisor of a sample's weight in the mean deviation.
 const DEVIATION_DIVISOR: u64 = 4;
 
-/// Deviations beyond the smoothed time that an answer may take.
+/// Number of deviations added to the smoothed time.
 const DEVIATION_FACTOR: u64 = 4;
 
-/// Longer than any answer is waited for.
+/// Cap on samples, longer than any timeout in use.
 const MAX_SAMPLE_MS: u64 = 60_000;
 
-/// Fractions of a millisecond that are kept, so that small steps are not lost.
+/// Fixed-point units per millisecond, so that small steps are not lost to rounding.
 const SCALE: u64 = 16;
 
-/// How long the answers of one other side take, and how much that varies.
+/// Estimates a timeout from the response times of one peer and their variation.
 ///
-/// The published estimator of retransmission timeouts: V. Jacobson, M. Karels, "Congestion Avoidance and Control"
-/// (1988), as in RFC 6298. An answer that did not come counts as one that took the whole time that it was given: what
-/// is only timed where it came in time would never show that it often takes longer.
+/// This is the estimator for retransmission timeouts of V. Jacobson and M. Karels, "Congestion
+/// Avoidance and Control" (1988), as in RFC 6298. A request without an answer counts as a response
+/// that took the full timeout. If only answers in time were measured, the estimate would never show
+/// that answers often take longer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TimeoutEstimator {
-    /// Smoothed time and mean deviation, in parts of a millisecond; none before the first sample.
+    /// Smoothed time and mean deviation in fixed-point units; `None` before the first sample.
     estimate: Option<(u64, u64)>,
 }
 
 impl TimeoutEstimator {
-    /// Takes note of how long an answer took, or of the time within which it did not come.
+    /// Records a response time, or the timeout if there was no answer.
     pub fn record(&mut self, took_ms: u64) {
         let sample = took_ms.min(MAX_SAMPLE_MS) * SCALE;
         let Some((smoothed, deviation)) = self.estimate else {
@@ -40,7 +41,8 @@
         self.estimate = Some((smoothed, deviation));
     }
 
-    /// Returns the time that the next answer is given, within bounds.
+    /// Returns the timeout of the next request, within bounds. If they conflict, `min_ms` takes
+    /// precedence.
     #[must_use]
     pub fn timeout_ms(&self, min_ms: u64, max_ms: u64) -> u64 {
         let (smoothed, deviation) = self.estimate.unwrap_or_default();
--- a/crates/retry/tests/budget.rs
+++ b/crates/retry/tests/budget.rs
@@ -1,4 +1,4 @@
-//! Budgets of repeats, and the waits before them.
+//! Tests of retry budgets and backoff delays.
 
 use syc_retry::Budget;
 use syc_retry::backoff_ms;
--- a/crates/retry/tests/timeout_estimator.rs
+++ b/crates/retry/tests/timeout_estimator.rs
@@ -1,4 +1,4 @@
-//! Timeouts that follow how long answers take, replayed over the answers of other sides that are slow.
+//! Tests of timeouts that adapt to the response times of slow peers.
 
 use rand::Rng;
 use rand::SeedableRng;
@@ -8,7 +8,7 @@
 const MIN_MS: u64 = 400;
 const MAX_MS: u64 = 2_000;
 
-/// Waits for answers that take so long each. Returns how many came too late.
+/// Feeds response times to the estimator. Returns how many exceeded the timeout.
 fn count_timeouts<I>(estimator: &mut TimeoutEstimator, answers_ms: I) -> usize
 where
     I: IntoIterator<Item = u64>,
@@ -22,7 +22,7 @@
     missed
 }
 
-/// Four answers of ten are late by up to 1,500 ms, the others come at once.
+/// Four of ten answers are up to 1,500 ms late; the others arrive at once.
 fn mostly_prompt_answers(seed: u64, count: usize) -> Vec<u64> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut answers_ms = Vec::new();
@@ -37,7 +37,7 @@
     answers_ms
 }
 
-/// With a fixed time, three answers of ten would be missed.
+/// A fixed timeout would miss three of ten answers.
 #[test]
 fn tolerates_answers_that_are_often_late() {
     for seed in 0..50 {
@@ -55,7 +55,7 @@
     assert!(missed <= 6, "{missed}");
 }
 
-/// One that is slow no more is missed as soon as before.
+/// A peer that is no longer slow is detected as silent as quickly as before.
 #[test]
 fn returns_to_the_minimum_once_answers_are_prompt_again() {
     let mut estimator = TimeoutEstimator::default();
