--- a/crates/admit/src/admission.rs
+++ b/crates/admit/src/admission.rs
@@ -209,22 +209,22 @@
     #[must_use]
     pub fn next_decision_at(&self, now: Millis) -> Option<Millis> {
         let mut next_decision_at: Option<Millis> = None;
-        let mut sooner =
+        let mut consider =
             |at: Millis| next_decision_at = Some(next_decision_at.map_or(at, |next| next.min(at)));
-        let soonest = now.plus(self.stagger_ms());
+        let earliest = now.plus(self.stagger_ms());
         for entry in self.records.values() {
-            sooner(entry.deadline);
+            consider(entry.deadline);
             if let Some(sent_at) = entry.first_sent_at.filter(|_| !self.store_answers) {
-                sooner(sent_at.plus(self.options.max_doubt_ms).max(soonest));
+                consider(sent_at.plus(self.options.max_doubt_ms).max(earliest));
             }
         }
         for append in self.appends.values() {
             if !append.is_rerouted {
-                sooner(append.overdue_at);
+                consider(append.overdue_at);
             }
         }
         if !self.queue.is_empty() && self.appends_in_flight() < self.max_appends {
-            sooner(self.backoff_until.max(soonest));
+            consider(self.backoff_until.max(earliest));
         }
         next_decision_at
     }
--- a/crates/admit/src/admission/routing.rs
+++ b/crates/admit/src/admission/routing.rs
@@ -144,9 +144,9 @@
         for (position, record) in self.queue.iter().enumerate() {
             let entry = &self.records[*record];
             let is_probe = is_free && position == 0;
-            let may_go = entry.first_sent_at.is_some() || is_probe;
+            let is_exempt = entry.first_sent_at.is_some() || is_probe;
             let is_late =
-                !may_go && self.expected_stored_at(append_at, position, now) > entry.deadline;
+                !is_exempt && self.expected_stored_at(append_at, position, now) > entry.deadline;
             let is_rejected = entry.refusals >= self.options.max_refusals && !entry.is_in_flight();
             if is_late || is_rejected {
                 refused.push(*record);
--- a/crates/admit/tests/admit/simulation.rs
+++ b/crates/admit/tests/admit/simulation.rs
@@ -142,11 +142,11 @@
     /// The latest time at which a heartbeat was sent that has since been answered.
     answered_sent_at: Millis,
     /// Nodes that have to decide because something happened.
-    has_news: Vec<bool>,
+    needs_decision: Vec<bool>,
     /// When each node has to decide even if nothing happens.
     due_at: Vec<Option<Millis>>,
     waiters: HashMap<(usize, RecordKey), Waiter>,
-    rows: StoreRows,
+    store: StoreRows,
     deliveries: BTreeMap<(Millis, u64), Delivery>,
     deliveries_scheduled: u64,
     appends: u64,
@@ -162,10 +162,10 @@
             nodes: (0..setup.nodes).map(|_| Admission::new(options)).collect(),
             collector_append_ms: vec![0; setup.nodes],
             answered_sent_at: Millis(0),
-            has_news: vec![false; setup.nodes],
+            needs_decision: vec![false; setup.nodes],
             due_at: vec![None; setup.nodes],
             waiters: HashMap::new(),
-            rows: StoreRows::new(APPEND_MS),
+            store: StoreRows::new(APPEND_MS),
             deliveries: BTreeMap::new(),
             deliveries_scheduled: 0,
             appends: 0,
@@ -179,7 +179,7 @@
     pub fn run(&mut self) {
         while self.now.0 < self.setup.end_ms + self.setup.timeout_ms {
             self.now = self.now.plus(1);
-            self.rows.append_ms = if self.is_slow() {
+            self.store.append_ms = if self.is_slow() {
                 APPEND_MS * self.setup.slowdown
             } else {
                 APPEND_MS
@@ -190,7 +190,7 @@
             self.deliver();
             for node in 0..self.setup.nodes {
                 let is_due = self.due_at[node].is_some_and(|at| at <= self.now);
-                if is_due || std::mem::take(&mut self.has_news[node]) {
+                if is_due || std::mem::take(&mut self.needs_decision[node]) {
                     self.decide(node);
                 }
             }
@@ -212,7 +212,7 @@
         }
         let sent_at = self.now;
         if let RowAnswer::CarriedOut(at) = self
-            .rows
+            .store
             .append(HEARTBEAT_PARTITION, self.now.plus(NETWORK_DELAY_MS))
             && !self.is_answer_lost()
         {
@@ -234,7 +234,7 @@
             let offset = node as u64 * 7;
             if (self.now.0 + offset).is_multiple_of(CONTACT_INTERVAL_MS) {
                 *known_ms = append_ms;
-                self.has_news[node] = true;
+                self.needs_decision[node] = true;
             }
         }
     }
@@ -250,7 +250,7 @@
             let node = self.rng.random_range(0..self.setup.nodes);
             let deadline = self.now.plus(self.setup.timeout_ms);
             let record = self.nodes[node].offer(RECORD_BYTES, deadline);
-            self.has_news[node] = true;
+            self.needs_decision[node] = true;
             let waiter = Waiter::Caller {
                 submitted_at: self.now,
             };
@@ -303,7 +303,10 @@
     fn append(&mut self, node: usize, append: AppendKey, partition: u32) {
         self.appends += 1;
         let lost = self.is_answer_lost();
-        let (at, answer) = match self.rows.append(partition, self.now.plus(NETWORK_DELAY_MS)) {
+        let (at, answer) = match self
+            .store
+            .append(partition, self.now.plus(NETWORK_DELAY_MS))
+        {
             RowAnswer::Full => (self.now.plus(2 * NETWORK_DELAY_MS), AppendAnswer::Refused),
             RowAnswer::CarriedOut(at)
                 if lost || at.since(self.now) > self.setup.append_timeout_ms =>
@@ -370,11 +373,11 @@
                     answer,
                 } => {
                     self.nodes[node].append_answered(append, answer, self.now);
-                    self.has_news[node] = true;
+                    self.needs_decision[node] = true;
                 }
                 Delivery::Heartbeat { sent_at } => {
                     self.answered_sent_at = self.answered_sent_at.max(sent_at);
-                    self.has_news[SCHEDULER] = true;
+                    self.needs_decision[SCHEDULER] = true;
                 }
                 Delivery::Forwarded {
                     node,
@@ -390,7 +393,7 @@
                 } => {
                     let took_ms = self.now.since(sent_at);
                     self.nodes[node].forward_answered(record, answer, took_ms);
-                    self.has_news[node] = true;
+                    self.needs_decision[node] = true;
                 }
             }
         }
@@ -408,7 +411,7 @@
         }
         let deadline = self.now.plus(timeout_ms.saturating_sub(REPLY_MARGIN_MS));
         let forwarded = self.nodes[SCHEDULER].offer_forwarded(RECORD_BYTES, deadline);
-        self.has_news[SCHEDULER] = true;
+        self.needs_decision[SCHEDULER] = true;
         let waiter = Waiter::Node {
             node,
             record,
--- a/crates/cell/src/leader/advice.rs
+++ b/crates/cell/src/leader/advice.rs
@@ -127,8 +127,9 @@
                     timeout_ms,
                 });
                 let reply = contact::call(&client, query, timeout_ms + MIN_SLACK_MS).await;
-                let lost = |error: syc_net::CallError| AdviceError(error.to_string().into());
-                reply.map_err(lost).and_then(adviser::advice_of)
+                let to_advice_error =
+                    |error: syc_net::CallError| AdviceError(error.to_string().into());
+                reply.map_err(to_advice_error).and_then(adviser::advice_of)
             }
         };
         let took_ms = now().since(sent_at);
--- a/crates/cell/src/leader/heartbeat.rs
+++ b/crates/cell/src/leader/heartbeat.rs
@@ -55,7 +55,7 @@
             }
             // The sequence number is kept so that a heartbeat that was stored after all is not
             // counted twice.
-            Err(_noted) => {}
+            Err(_error) => {}
         }
         pause(leader.node.settings.timing.heartbeat_ms).await;
     }
@@ -110,7 +110,7 @@
             match appended {
                 Ok(_) | Err(AppendError::Fenced) => return,
                 Err(AppendError::OutOfSequence { expected }) => sequence = expected,
-                Err(_noted) => {}
+                Err(_error) => {}
             }
         }
     }
--- a/crates/cell/src/leader/progress_writer.rs
+++ b/crates/cell/src/leader/progress_writer.rs
@@ -189,13 +189,13 @@
             progress.version.token = self.token;
             batch.push(records::progress(*id, progress));
         }
-        let began = now();
+        let started_at = now();
         let jobs_added = self.scheduler.borrow().jobs_added();
         let Some(sent_at) = self.append_progress(&batch).await else {
             return false;
         };
         self.record_proof(jobs_added, sent_at);
-        let written_ms = now().since(began);
+        let written_ms = now().since(started_at);
         for (id, _change, progress) in &changed_jobs {
             if progress.state.is_terminal() {
                 log::job_shown(*id, progress.state, written_ms);
@@ -229,11 +229,11 @@
         // An empty append consumes no sequence number.
         let condition = self.producer_condition(PRODUCER, 0);
         let partition = self.progress.current.get();
-        let taken = self
+        let appended = self
             .node
             .append(Topic::Progress, partition, &[], &condition)
             .await;
-        match taken {
+        match appended {
             Ok(_) | Err(AppendError::OutOfSequence { .. }) => {
                 self.record_proof(jobs_added, sent_at);
             }
@@ -241,7 +241,7 @@
                 self.step_down("fenced_by_store");
                 return false;
             }
-            Err(_noted) => {
+            Err(_error) => {
                 self.progress.switch_partition(false);
                 pause(RETRY_MS).await;
             }
--- a/crates/cell/src/leader/readers.rs
+++ b/crates/cell/src/leader/readers.rs
@@ -84,7 +84,7 @@
                 reached_end: true,
             })
         }
-        Err(_noted) => None,
+        Err(_error) => None,
     }
 }
 
@@ -150,9 +150,9 @@
     fn age_ms(&self, partition: u32, spec: &JobSpec) -> u64 {
         let index = usize::try_from(partition).unwrap_or(usize::MAX);
         let read_at = self.jobs_read_at.borrow().get(index).copied();
-        let unread_ms = now().since(read_at.unwrap_or_default().max(self.started_at));
+        let since_read_ms = now().since(read_at.unwrap_or_default().max(self.started_at));
         let day = self.node.settings.day_clock.read();
-        day.ahead_of(spec.accepted_at_ms).min(unread_ms)
+        day.ahead_of(spec.accepted_at_ms).min(since_read_ms)
     }
 
     fn note_jobs_read(&self, partition: u32, asked_at: Millis) {
@@ -193,7 +193,7 @@
                     apply_worker_list(&leader, &newest);
                 }
             }
-            Err(_noted) => {}
+            Err(_error) => {}
         }
     }
 }
--- a/crates/cell/src/leader/vms.rs
+++ b/crates/cell/src/leader/vms.rs
@@ -160,7 +160,7 @@
                 }
                 Err(AppendError::OutOfSequence { expected }) => *sequence = expected,
                 // The sequence number is kept, so the store deduplicates the retry.
-                Err(_noted) => pause(RETRY_MS).await,
+                Err(_error) => pause(RETRY_MS).await,
             }
         }
     }
