--- a/crates/sched/tests/core/crashes.rs
+++ b/crates/sched/tests/core/crashes.rs
@@ -210,7 +210,10 @@
     let first = driver.settle().remove(0);
     driver.crash(first.worker);
     driver.settle();
-let left = driver . stored_progress . remove ( & JobId ( 1 ) ) . expect ( "the progress was stored" ) ;
+    let left = driver
+        .stored_progress
+        .remove(&JobId(1))
+        .expect("the progress was stored");
     let at = left.steps[0].units[&0].workers[0].clone();
     let mut successor = Driver::with_untried_workers(0, 8);
     successor.restore(1, policy(0), vec![step(1, 1)], Some(&left));
@@ -232,7 +235,10 @@
     let mut driver = Driver::new(2, 8);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     driver.settle();
-let mut left = driver . stored_progress . remove ( & JobId ( 1 ) ) . expect ( "the progress was stored" ) ;
+    let mut left = driver
+        .stored_progress
+        .remove(&JobId(1))
+        .expect("the progress was stored");
     let at = left.steps[0].units[&0].workers[0].clone();
     for _ in 0..3 {
         let mut successor = Driver::with_untried_workers(0, 8);
--- a/crates/sched/tests/core/restarts.rs
+++ b/crates/sched/tests/core/restarts.rs
@@ -215,7 +215,11 @@
     });
     driver.advance(5_000);
     driver.schedule();
-assert ! ( driver . advice_requests . is_empty ( ) , "advice was requested about all workers" ) ; driver . apply ( Event :: Restarted { worker : first } ) ;
+    assert!(
+        driver.advice_requests.is_empty(),
+        "advice was requested about all workers"
+    );
+    driver.apply(Event::Restarted { worker: first });
     unregister_incarnation(&mut driver, 1);
     let next = register_incarnation(&mut driver, 2);
     driver.report_running(next, &[]);
--- a/crates/sched/tests/core/review.rs
+++ b/crates/sched/tests/core/review.rs
@@ -97,7 +97,9 @@
         }
     }
     simulation.run_for(2 * Options::default().in_doubt_limit_ms);
-    simulation.beliefs_about(healthy).contains(&"lease_let_lapse")
+    simulation
+        .beliefs_about(healthy)
+        .contains(&"lease_let_lapse")
 }
 
 /// An order may be reset within a millisecond, and the worker's next report may follow as quickly if it lists an end.
