--- a/crates/cell/src/log.rs
+++ b/crates/cell/src/log.rs
@@ -1,4 +1,4 @@
-//! The lines that a node writes, one for each decision and each change of belief.
+//! Log events of a node, one for each decision and each change of observed state.
 
 mod workers;
 
@@ -129,16 +129,16 @@
         .emit();
 }
 
-/// What a takeover read, and how long that took.
+/// State that a takeover loaded, and how long it took.
 #[derive(Debug)]
-pub(crate) struct Loaded {
+pub(crate) struct LoadedState {
     pub(crate) counts: Counts,
     pub(crate) progress_records: usize,
     pub(crate) fenced_ms: u64,
     pub(crate) read_ms: u64,
 }
 
-pub(crate) fn loaded(token: u64, loaded: &Loaded) {
+pub(crate) fn state_loaded(token: u64, loaded: &LoadedState) {
     Line::new(catalogue::STATE_LOADED)
         .number("token", token)
         .number("open_jobs", loaded.counts.open_jobs)
@@ -209,16 +209,16 @@
         .emit();
 }
 
-/// An order that was refused or has no answer, and what was under way then.
+/// Order that was refused or got no answer, and the state of its worker's connections.
 #[derive(Debug)]
 pub(crate) struct FailedOrder<'a> {
     pub(crate) task: TaskId,
     pub(crate) run: Run,
     pub(crate) worker: &'a WorkerId,
     pub(crate) error: &'a OrderError,
-    /// Orders to this worker that wait for an answer, this one included.
-    pub(crate) under_way: usize,
-    /// Connections to this worker that were opened so far.
+    /// Unanswered orders to this worker, including this one.
+    pub(crate) in_flight: usize,
+    /// Connections opened to this worker so far.
     pub(crate) connections_opened: u64,
 }
 
@@ -243,7 +243,7 @@
         .number("run", order.run.0)
         .text("worker", order.worker.as_str())
         .display("reason", order.error)
-        .number("under_way", order.under_way)
+        .number("under_way", order.in_flight)
         .number("connections_opened", order.connections_opened)
 }
 
@@ -322,7 +322,7 @@
         .emit();
 }
 
-/// Writes what the scheduler noted.
+/// Logs a note of the scheduler.
 pub(crate) fn note(note: &Note) {
     match note {
         Note::RunEnded {
--- a/crates/cell/tests/cell/fuzz.rs
+++ b/crates/cell/tests/cell/fuzz.rs
@@ -1,4 +1,4 @@
-//! Generated input for every reader of what a cell keeps in the store, and of frames between nodes.
+//! Fuzzes the decoders of records in the store and of frames between nodes.
 
 use bytes::Bytes;
 use syc_cell::ports::Record;
@@ -45,16 +45,16 @@
 
 const JOB: u64 = 0x0a0b_0c0d_0e0f_0001;
 
-/// Plays a reader with input of each kind.
-fn fuzz<T, F>(sound: &[Vec<u8>], read: F)
+/// Runs a decoder on each kind of generated input.
+fn fuzz<T, F>(valid: &[Vec<u8>], read: F)
 where
     T: PartialEq + std::fmt::Debug,
     F: Fn(&[u8]) -> Option<T>,
 {
     any_bytes(&read);
-    changed_bytes(sound, &read);
-    changed_fields(sound, &read);
-    later_fields(sound, false, &read);
+    changed_bytes(valid, &read);
+    changed_fields(valid, &read);
+    later_fields(valid, false, &read);
 }
 
 fn record(key: &str, value: &[u8]) -> Record {
@@ -181,8 +181,8 @@
         workers: vec![worker(0), worker(1)],
     };
     let parts = records::roster(&roster);
-    let sound: Vec<_> = parts.iter().map(|part| part.value.to_vec()).collect();
-    fuzz(&sound, read_roster);
+    let valid: Vec<_> = parts.iter().map(|part| part.value.to_vec()).collect();
+    fuzz(&valid, read_roster);
 }
 
 fn read_roster(value: &[u8]) -> Option<Vec<WorkerSpec>> {
@@ -195,7 +195,7 @@
     unreadable.is_empty().then_some(workers)
 }
 
-/// Amounts of all workers are added up: one must not overflow the sum.
+/// The capacities of all workers are summed, and one worker must not overflow the sum.
 #[test]
 fn a_roster_with_an_impossible_capacity_is_rejected() {
     let mut workers = vec![worker(0), worker(1)];
@@ -270,27 +270,27 @@
             partition: 3,
         }),
     ];
-    let sound = bodies.map(|body| CellMessage::encoded(body).to_vec());
+    let valid = bodies.map(|body| CellMessage::encoded(body).to_vec());
     let read = |frame: &[u8]| CellMessage::decoded(frame).ok();
     any_bytes(read);
-    changed_bytes(&sound, read);
-    frames_with_an_unknown_field(&sound, read);
+    changed_bytes(&valid, read);
+    frames_with_an_unknown_field(&valid, read);
 }
 
-/// Gives a reader sound frames with a field of a later version: number 100, a text.
-fn frames_with_an_unknown_field<T, F>(sound: &[Vec<u8>], read: F)
+/// Checks that a decoder ignores an unknown string field (number 100), as a later version may add one.
+fn frames_with_an_unknown_field<T, F>(valid: &[Vec<u8>], read: F)
 where
     T: PartialEq + std::fmt::Debug,
     F: Fn(&[u8]) -> Option<T>,
 {
-    for frame in sound {
+    for frame in valid {
         let mut later = frame.clone();
         prost::encoding::string::encode(100, &"later".to_owned(), &mut later);
         assert_eq!(read(&later), read(frame));
     }
 }
 
-/// The daemons' frames have the same decoder.
+/// Frames between daemons use the same decoder.
 #[test]
 fn frames_between_daemons() {
     let spec = WireSpec {
@@ -317,7 +317,7 @@
             ..RunRequest::default()
         }),
     ];
-    let sound = bodies.map(|body| Message::new(3, body).to_bytes().to_vec());
+    let valid = bodies.map(|body| Message::new(3, body).to_bytes().to_vec());
     let read = |frame: &[u8]| {
         let (epoch, body) = Message::from_bytes(Bytes::copy_from_slice(frame)).ok()?;
         if let Body::Submit(submit) = &body {
@@ -326,6 +326,6 @@
         Some((epoch, body))
     };
     any_bytes(read);
-    changed_bytes(&sound, read);
-    frames_with_an_unknown_field(&sound, read);
+    changed_bytes(&valid, read);
+    frames_with_an_unknown_field(&valid, read);
 }
