--- a/crates/sched/src/circuit_breaker.rs
+++ b/crates/sched/src/circuit_breaker.rs
@@ -138,22 +138,22 @@
     pub fn may_renew(&self, worker: WorkerKey) -> bool {
         self.workers
             .get(worker)
-            .is_none_or(|worker| !worker.contact.withholds_lease)
+            .is_none_or(|worker| !worker.breaker.withholds_lease)
     }
 
     /// Records that a worker accepted an order that was sent at `sent_at`.
     pub(crate) fn order_accepted(&mut self, key: WorkerKey, sent_at: Millis, now: Millis) {
         self.retry_budget.refund();
         let worker = &mut self.workers[key];
-        let contact = &mut worker.contact;
-        contact.retry_budget.refund();
-        contact.consecutive_failures = 0;
-        contact.start_window = MAX_START_WINDOW;
-        contact.last_accepted_sent_at = contact.last_accepted_sent_at.max(Some(sent_at));
-        contact.clear_probe();
-        contact.half_open = false;
-        if contact.tripped {
-            contact.tripped = false;
+        let breaker = &mut worker.breaker;
+        breaker.retry_budget.refund();
+        breaker.consecutive_failures = 0;
+        breaker.start_window = MAX_START_WINDOW;
+        breaker.last_accepted_sent_at = breaker.last_accepted_sent_at.max(Some(sent_at));
+        breaker.clear_probe();
+        breaker.half_open = false;
+        if breaker.tripped {
+            breaker.tripped = false;
             let note = status_note(worker, "takes_orders", now);
             self.actions.push(note);
         }
@@ -169,21 +169,21 @@
     ) {
         let limit = self.options.order_failures_limit;
         let worker = &mut self.workers[key];
-        let contact = &mut worker.contact;
-        contact.clear_probe();
-        contact.half_open = false;
-        contact.last_failed = Some(task_run);
+        let breaker = &mut worker.breaker;
+        breaker.clear_probe();
+        breaker.half_open = false;
+        breaker.last_failed = Some(task_run);
         // Some of several concurrent orders may be lost. An accepted one shows that the worker accepts orders.
-        if contact.has_accepted_since(sent_at) {
+        if breaker.has_accepted_since(sent_at) {
             return;
         }
-        contact.consecutive_failures += 1;
-        if contact.tripped || contact.consecutive_failures < limit {
+        breaker.consecutive_failures += 1;
+        if breaker.tripped || breaker.consecutive_failures < limit {
             return;
         }
-        contact.tripped = true;
-        contact.start_window = INITIAL_START_WINDOW;
-        contact.probe_attempts = 0;
+        breaker.tripped = true;
+        breaker.start_window = INITIAL_START_WINDOW;
+        breaker.probe_attempts = 0;
         let note = status_note(worker, "takes_no_orders", now);
         self.actions.push(note);
         self.schedule_next_probe(key, task_run, now);
@@ -191,15 +191,15 @@
 
     fn schedule_next_probe(&mut self, key: WorkerKey, task_run: (TaskId, Run), now: Millis) {
         let options = &self.options;
-        let contact = &mut self.workers[key].contact;
-        contact.probe_attempts += 1;
+        let breaker = &mut self.workers[key].breaker;
+        breaker.probe_attempts += 1;
         let wait_ms = backoff_ms(
             options.order_retry_ms,
             options.max_probe_delay_ms,
-            contact.probe_attempts,
+            breaker.probe_attempts,
             jitter_seed(task_run.0, task_run.1),
         );
-        contact.next_probe_at = now.plus(wait_ms);
+        breaker.next_probe_at = now.plus(wait_ms);
     }
 
     /// Probes a worker that accepts no orders, with its oldest order in doubt or a stop of a run that is over.
@@ -207,29 +207,29 @@
         // The sending node answers every order eventually, so a probe that is unanswered for this long has failed.
         let wait_ms = self.options.in_doubt_limit_ms;
         let worker = &self.workers[key];
-        let contact = &worker.contact;
-        let is_sent = contact
+        let breaker = &worker.breaker;
+        let is_sent = breaker
             .probe_sent_at
             .is_some_and(|at| now.since(at) < wait_ms);
-        if is_sent || now < contact.next_probe_at {
+        if is_sent || now < breaker.next_probe_at {
             return;
         }
         let in_doubt = worker.runs.iter().filter(|(_, run)| is_in_doubt(run));
         let oldest = in_doubt.min_by_key(|(_, run)| run.ordered_at);
         let oldest = oldest.map(|(task_run, _)| *task_run);
-        let over = contact
+        let over = breaker
             .last_failed
             .filter(|task_run| !worker.runs.contains_key(task_run));
         let Some(task_run) = oldest.or(over) else {
             // No order can be sent again, so the next start serves as the probe.
-            self.workers[key].contact.half_open = true;
+            self.workers[key].breaker.half_open = true;
             return;
         };
         if !self.retry_budget.take(now) {
             return;
         }
         self.schedule_next_probe(key, task_run, now);
-        self.workers[key].contact.probe_sent_at = Some(now);
+        self.workers[key].breaker.probe_sent_at = Some(now);
         if oldest.is_some() {
             self.retry_order(key, task_run, now);
             return;
@@ -246,16 +246,16 @@
     pub(crate) fn check_in_doubt_orders(&mut self, key: WorkerKey, now: Millis) {
         let limit_ms = self.options.in_doubt_limit_ms;
         let worker = &self.workers[key];
-        let contact = &worker.contact;
+        let breaker = &worker.breaker;
         let is_overdue = |run: &WorkerRun| {
             let Some(since) = unconfirmed_since(run) else {
                 return false;
             };
             // A worker that has accepted later orders is likely to accept this one, too.
-            let patience = 1 + u64::from(contact.has_accepted_since(since));
+            let patience = 1 + u64::from(breaker.has_accepted_since(since));
             let in_doubt_ms = now.since(since);
             let is_late =
-                in_doubt_ms > limit_ms * patience && contact.retries_exhausted(run, limit_ms, now);
+                in_doubt_ms > limit_ms * patience && breaker.retries_exhausted(run, limit_ms, now);
             is_late || in_doubt_ms > limit_ms * HARD_LIMIT_FACTOR
         };
         let is_past_hard_limit = |run: &WorkerRun| {
@@ -265,14 +265,14 @@
         let should_withhold = worker.runs.values().any(is_overdue);
         // Once the lease is withheld, long-running tasks on the worker already count as unavailable. Past the hard
         // limit, exceeding the unavailability limit is preferred to a task that waits forever.
-        let may_change = contact.withholds_lease
+        let may_change = breaker.withholds_lease
             || self.may_end_serving(key)
             || worker.runs.values().any(is_past_hard_limit);
         let worker = &mut self.workers[key];
-        if should_withhold == worker.contact.withholds_lease || !may_change {
+        if should_withhold == worker.breaker.withholds_lease || !may_change {
             return;
         }
-        worker.contact.withholds_lease = should_withhold;
+        worker.breaker.withholds_lease = should_withhold;
         let event = if should_withhold {
             "lease_let_lapse"
         } else {
--- a/crates/sched/src/orders.rs
+++ b/crates/sched/src/orders.rs
@@ -50,7 +50,7 @@
             StartAnswer::InDoubt => self.order_failed(key, (task, run), ordered_at, now),
             // The local node did not send the order, so the outcome says nothing about the worker.
             StartAnswer::NotSent => {
-                worker.contact.clear_probe();
+                worker.breaker.clear_probe();
                 self.start_not_sent(key, task, run, now);
             }
         }
@@ -163,7 +163,7 @@
         }
         run_state.begin_stop(now);
         // A worker with a tripped breaker gets one order at a time, as a probe.
-        if !self.workers[key].contact.tripped {
+        if !self.workers[key].breaker.tripped {
             self.send_stop(key, task, run, reason, now);
         }
     }
--- a/crates/sched/src/orphans.rs
+++ b/crates/sched/src/orphans.rs
@@ -73,8 +73,8 @@
             let name = (orphan.report.task(), orphan.report.run());
             orphan.worker == worker && name == (task, run)
         };
-        self.strays.retain(|orphan| !same(orphan));
-        self.strays.push(OrphanedRun {
+        self.orphans.retain(|orphan| !same(orphan));
+        self.orphans.push(OrphanedRun {
             worker,
             report,
             reported_at: now,
@@ -84,7 +84,7 @@
 
     /// Says whether a run is of a job that may only not have been read yet.
     pub(crate) fn is_orphan(&self, task: TaskId, run: Run) -> bool {
-        let mut orphans = self.strays.iter();
+        let mut orphans = self.orphans.iter();
         orphans.any(|orphan| (orphan.report.task(), orphan.report.run()) == (task, run))
     }
 
@@ -94,7 +94,7 @@
             return self.jobs[*key].latest_change;
         }
         let waits = self
-            .strays
+            .orphans
             .iter()
             .any(|orphan| orphan.report.task().step.job == job);
         if waits { UNKNOWN_CHANGE } else { 0 }
@@ -104,7 +104,7 @@
     pub(crate) fn resolve_orphans(&mut self, id: JobId, now: Millis) {
         let is_of_job = |orphan: &OrphanedRun| orphan.report.task().step.job == id;
         let orphans: Vec<_> = self
-            .strays
+            .orphans
             .iter()
             .filter(|s| is_of_job(s))
             .cloned()
@@ -112,7 +112,7 @@
         if orphans.is_empty() {
             return;
         }
-        self.strays.retain(|orphan| !is_of_job(orphan));
+        self.orphans.retain(|orphan| !is_of_job(orphan));
         self.jobs[self.job_keys[&id]].inherited = true;
         // As while taking over: what is told of the job's runs is all that is known of them.
         let settled = self.recovery.mark_incomplete();
@@ -150,10 +150,10 @@
     /// Gives up waiting for the jobs of runs that were told of before all that is stored was read.
     pub(crate) fn discard_orphans(&mut self, now: Millis) {
         let read_at = self.jobs_read_at;
-        let (over, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.strays)
+        let (over, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.orphans)
             .into_iter()
             .partition(|orphan| orphan.reported_at < read_at);
-        self.strays = waiting;
+        self.orphans = waiting;
         for orphan in over {
             let (task, run) = (orphan.report.task(), orphan.report.run());
             if self.workers.contains_key(orphan.worker) {
--- a/crates/sched/src/pacing.rs
+++ b/crates/sched/src/pacing.rs
@@ -1,8 +1,8 @@
 //! Throttles backfill runs, which use CPU that other runs leave unused, to protect the tail latency of
-//! latency-sensitive runs on the same worker.
+//! latency-bound runs on the same worker.
 //!
 //! All backfill runs of a worker share one pace, a percentage of full speed. The pace drops quickly when the
-//! tail latency of a latency-sensitive run nears its limit, and rises slowly while there is slack. The paces
+//! tail latency of a latency-bound run nears its limit, and rises slowly while there is slack. The paces
 //! that pairs of images could sustain together are remembered, so that further backfill runs are placed where
 //! they interfere least.
 
@@ -29,7 +29,7 @@
 /// Interval between changes of the pace. Reported tail latencies cover the last half second.
 const ADJUST_INTERVAL_MS: u64 = 500;
 
-/// Longest time between reports of a worker that has both latency-sensitive and backfill runs.
+/// Longest time between reports of a worker that has both latency-bound and backfill runs.
 const SHARED_REPORT_WAIT_MS: u64 = 400;
 
 /// From this percentage of its limit on, a tail latency is too high, since a short burst could exceed the limit.
@@ -120,23 +120,23 @@
     }
 }
 
-/// Moving averages of the pace that backfill images sustained next to latency-sensitive images.
+/// Moving averages of the pace that backfill images sustained next to latency-bound images.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Interference {
     paces: HashMap<(SmolStr, SmolStr), u32>,
 }
 
 impl Interference {
-    fn expected(&self, backfill_image: &SmolStr, sensitive_image: &SmolStr) -> u32 {
-        let key = (backfill_image.clone(), sensitive_image.clone());
+    fn expected(&self, backfill_image: &SmolStr, latency_bound_image: &SmolStr) -> u32 {
+        let key = (backfill_image.clone(), latency_bound_image.clone());
         self.paces
             .get(&key)
             .copied()
             .unwrap_or(DEFAULT_EXPECTED_PACE)
     }
 
-    fn record(&mut self, backfill_image: &SmolStr, sensitive_image: &SmolStr, percent: u8) {
-        let key = (backfill_image.clone(), sensitive_image.clone());
+    fn record(&mut self, backfill_image: &SmolStr, latency_bound_image: &SmolStr, percent: u8) {
+        let key = (backfill_image.clone(), latency_bound_image.clone());
         let pace = self.paces.entry(key).or_insert(DEFAULT_EXPECTED_PACE);
         *pace = (*pace * (100 - LEARNING_RATE_PERCENT)
             + u32::from(percent) * LEARNING_RATE_PERCENT)
@@ -161,7 +161,7 @@
     if lowered < MIN_PACE { 0 } else { lowered }
 }
 
-/// Returns the worst tail latency of the latency-sensitive runs as a percentage of its limit, or `None` if there are
+/// Returns the worst tail latency of the latency-bound runs as a percentage of its limit, or `None` if there are
 /// no such runs.
 fn worst_tail_percent(worker: &Worker) -> Option<u64> {
     let tails = worker.runs.values().filter_map(|run| match run.share {
@@ -183,17 +183,17 @@
         let Some(worker) = self.workers.get(worker) else {
             return usual_ms;
         };
-        let has_sensitive = worker.runs.values().any(WorkerRun::is_latency_bound);
+        let has_latency_bound = worker.runs.values().any(WorkerRun::is_latency_bound);
         let has_backfill = worker.runs.values().any(WorkerRun::fills);
         // The step or the worker of a suspect is held back until the suspect is known not to crash its worker.
-        if has_sensitive && has_backfill || worker.has_suspect() {
+        if has_latency_bound && has_backfill || worker.has_suspect() {
             usual_ms.min(SHARED_REPORT_WAIT_MS)
         } else {
             usual_ms
         }
     }
 
-    /// Adjusts the pace of a worker's backfill runs to the tail latencies of its latency-sensitive runs.
+    /// Adjusts the pace of a worker's backfill runs to the tail latencies of its latency-bound runs.
     pub(crate) fn adjust_backfill_pace(&mut self, key: WorkerKey, now: Millis) {
         let worker = &mut self.workers[key];
         let backfill_runs = worker.runs.values().filter(|run| run.fills());
@@ -224,7 +224,7 @@
     fn send_pace_orders(&mut self, key: WorkerKey, now: Millis) {
         let worker = &mut self.workers[key];
         // A worker with a tripped breaker gets one order at a time, as a probe.
-        if worker.contact.tripped {
+        if worker.breaker.tripped {
             return;
         }
         let percent = worker.pace.percent;
@@ -283,17 +283,17 @@
             if !backfill_run.fills() {
                 continue;
             }
-            for ((sensitive, _), sensitive_run) in &worker.runs {
-                if sensitive_run.is_latency_bound() {
-                    pairs.push((self.image_of(*backfill), self.image_of(*sensitive)));
+            for ((latency_bound, _), latency_bound_run) in &worker.runs {
+                if latency_bound_run.is_latency_bound() {
+                    pairs.push((self.image_of(*backfill), self.image_of(*latency_bound)));
                 }
             }
         }
         pairs.sort();
         pairs.dedup();
-        for (backfill_image, sensitive_image) in pairs {
+        for (backfill_image, latency_bound_image) in pairs {
             self.interference
-                .record(&backfill_image, &sensitive_image, percent);
+                .record(&backfill_image, &latency_bound_image, percent);
         }
     }
 
@@ -341,8 +341,8 @@
             if !run_state.is_latency_bound() {
                 continue;
             }
-            let sensitive_image = self.image_of(*task);
-            expected = expected.min(self.interference.expected(image, &sensitive_image));
+            let latency_bound_image = self.image_of(*task);
+            expected = expected.min(self.interference.expected(image, &latency_bound_image));
         }
         expected
     }
--- a/crates/sched/src/placement.rs
+++ b/crates/sched/src/placement.rs
@@ -89,7 +89,7 @@
     /// Says whether a worker takes in no more before its next answer, which comes within moments.
     fn is_awaiting_answer(&self, key: WorkerKey) -> bool {
         let worker = &self.workers[key];
-        !worker.may_take_start() && worker.contact.is_healthy()
+        !worker.may_take_start() && worker.breaker.is_healthy()
     }
 
     /// Picks the worker that a task fits best, of those on which it fits and that take in more.
--- a/crates/sched/src/reports.rs
+++ b/crates/sched/src/reports.rs
@@ -156,7 +156,7 @@
         };
         if worker.silent {
             worker.silent = false;
-            worker.contact.probe_immediately(now);
+            worker.breaker.probe_immediately(now);
             let note = status_note(worker, "answers", now);
             self.actions.push(note);
             self.mark_capacity_stale(key, now);
--- a/crates/sched/src/retries.rs
+++ b/crates/sched/src/retries.rs
@@ -18,7 +18,7 @@
         if self.workers[key].silent {
             return;
         }
-        if self.workers[key].contact.tripped {
+        if self.workers[key].breaker.tripped {
             self.send_probe(key, now);
             return;
         }
@@ -31,7 +31,7 @@
         due.sort_unstable();
         for (_, task_run) in due {
             let has_token = self.retry_budget.has_token(now);
-            if !has_token || !self.workers[key].contact.retry_budget.take(now) {
+            if !has_token || !self.workers[key].breaker.retry_budget.take(now) {
                 return;
             }
             self.retry_budget.take(now);
@@ -59,7 +59,7 @@
     pub(crate) fn retry_order(&mut self, key: WorkerKey, task_run: (TaskId, Run), now: Millis) {
         let (task, run) = task_run;
         let worker = &mut self.workers[key];
-        let withholds_lease = worker.contact.withholds_lease;
+        let withholds_lease = worker.breaker.withholds_lease;
         let is_overcommitted = worker.is_overcommitted() || worker.stale_capacity.is_some();
         let Some(run_state) = worker.runs.get_mut(&task_run) else {
             return;
--- a/crates/sched/src/scheduler.rs
+++ b/crates/sched/src/scheduler.rs
@@ -82,7 +82,7 @@
     pub(crate) queues: HashMap<SmolStr, QueueStats>,
     pub(crate) recovery: Recovery,
     /// Reported runs whose jobs have not been loaded yet.
-    pub(crate) strays: Vec<OrphanedRun>,
+    pub(crate) orphans: Vec<OrphanedRun>,
     /// All jobs that were stored before this time have been loaded.
     pub(crate) jobs_read_at: Millis,
     /// The latest times at which workers went silent that were lost afterwards.
@@ -126,7 +126,7 @@
             early_cancellations: BTreeMap::new(),
             queues: HashMap::new(),
             recovery: Recovery::default(),
-            strays: Vec::new(),
+            orphans: Vec::new(),
             jobs_read_at: Millis(u64::MAX),
             recent_silences: VecDeque::new(),
             misdirected: Vec::new(),
@@ -318,7 +318,7 @@
             workers,
             jobs,
             job_keys,
-            strays,
+            orphans,
             ..
         } = self;
         let Some(worker) = workers.get_mut(worker) else {
@@ -328,29 +328,29 @@
             if let Some(key) = job_keys.get(&id) {
                 return jobs[*key].recorded_change;
             }
-            let mut strays = strays.iter();
-            if strays.any(|stray| stray.report.task().step.job == id) {
+            let mut orphans = orphans.iter();
+            if orphans.any(|orphan| orphan.report.task().step.job == id) {
                 return 0;
             }
             // The job was removed, so its ends need not be kept.
             u64::MAX
         };
         worker.advance_acknowledged(recorded);
-        let left = !worker.unacknowledged.is_empty();
-        (worker.next_acknowledgement(), left)
+        let has_unacknowledged = !worker.unacknowledged.is_empty();
+        (worker.next_acknowledgement(), has_unacknowledged)
     }
 
     /// Sets the wall clock, which determines when timed jobs are due.
-    pub fn set_wall_clock(&mut self, day: DayAnchor) {
+    pub fn set_wall_clock(&mut self, wall_clock: DayAnchor) {
         let moved = self
             .wall_clock
-            .is_none_or(|known| known.differs_ms(day) >= MIN_WALL_CLOCK_CHANGE_MS);
+            .is_none_or(|known| known.differs_ms(wall_clock) >= MIN_WALL_CLOCK_CHANGE_MS);
         if !moved {
             return;
         }
-        self.wall_clock = Some(day);
+        self.wall_clock = Some(wall_clock);
         for key in &self.open_jobs {
-            self.jobs[*key].set_wall_clock(day);
+            self.jobs[*key].set_wall_clock(wall_clock);
         }
     }
 
--- a/crates/sched/src/usable.rs
+++ b/crates/sched/src/usable.rs
@@ -95,7 +95,7 @@
             (!self.runs_known, UnusableReason::Unheard),
             (self.silent, UnusableReason::Silent),
             (self.stale_capacity.is_some(), UnusableReason::RoomInDoubt),
-            (!self.contact.allows_starts(), UnusableReason::TakesNoOrders),
+            (!self.breaker.allows_starts(), UnusableReason::TakesNoOrders),
             (
                 self.spec.draining || self.evacuating,
                 UnusableReason::Leaving,
--- a/crates/sched/src/vms.rs
+++ b/crates/sched/src/vms.rs
@@ -172,7 +172,7 @@
         for worker in self.workers.values() {
             // What a silent one told last may be as old as its lease, and nobody is served there meanwhile; what
             // runs on one whose lease is let lapse ends.
-            if worker.silent || worker.contact.withholds_lease {
+            if worker.silent || worker.breaker.withholds_lease {
                 continue;
             }
             let runs = worker.runs_of(step);
--- a/crates/sched/src/worker.rs
+++ b/crates/sched/src/worker.rs
@@ -270,7 +270,7 @@
     pub(crate) evacuating: bool,
     /// How fast the runs may go that fill what is left over.
     pub(crate) pace: PaceControl,
-    pub(crate) contact: CircuitBreaker,
+    pub(crate) breaker: CircuitBreaker,
 }
 
 impl Worker {
@@ -302,7 +302,7 @@
             suspected_runs: 0,
             evacuating: false,
             pace: PaceControl::new(),
-            contact: CircuitBreaker::new(),
+            breaker: CircuitBreaker::new(),
         }
     }
 
@@ -318,7 +318,7 @@
             .runs
             .values()
             .filter(|run| run.phase == Phase::Starting);
-        let limit = usize::try_from(self.contact.max_unanswered_starts()).unwrap_or(usize::MAX);
+        let limit = usize::try_from(self.breaker.max_unanswered_starts()).unwrap_or(usize::MAX);
         starting.take(limit).count() < limit
     }
 
--- a/crates/sched/tests/core/maintenance.rs
+++ b/crates/sched/tests/core/maintenance.rs
@@ -365,5 +365,8 @@
     driver.record();
     assert!(!driver.wave_reports.contains(&(WAVE + 1, true)));
     pass(&mut driver, 1, &[], 1_000);
-assert ! ( driver . wave_reports . contains ( & ( WAVE + 1 , true ) ) , "the VM is removed now" ) ;
+    assert!(
+        driver.wave_reports.contains(&(WAVE + 1, true)),
+        "the VM is removed now"
+    );
 }
--- a/crates/sched/tests/core/review.rs
+++ b/crates/sched/tests/core/review.rs
@@ -67,13 +67,13 @@
 /// Many workers accept no orders, and one only loses the orders of half a second. It must not lose its runs.
 #[test]
 fn healthy_worker_keeps_its_lease_while_others_use_up_the_retry_budget() {
-    let mut lapsed: Vec<usize> = Vec::new();
+    let mut without_lease: Vec<usize> = Vec::new();
     for healthy in (0..60).step_by(6) {
         if healthy_worker_loses_lease(60, healthy) {
-            lapsed.push(healthy);
+            without_lease.push(healthy);
         }
     }
-    assert!(lapsed.is_empty(), "{lapsed:?}");
+    assert!(without_lease.is_empty(), "{without_lease:?}");
 }
 
 /// Returns whether the lease of the only healthy worker is withheld. Three of the four tasks on each worker are
@@ -104,29 +104,29 @@
 #[test]
 fn failed_pace_order_is_not_resent_immediately() {
     let mut driver = Driver::new(1, 8);
-    let serves = StepSpec {
+    let latency_bound = StepSpec {
         long_running: true,
         tail_limit_ms: Some(100),
         ..step(1, 3)
     };
-    let fills = StepSpec {
+    let backfill = StepSpec {
         fills: true,
         ..step(1, 4)
     };
-    driver.submit(1, policy(0), vec![serves]);
-    driver.submit(2, policy(1), vec![fills]);
+    driver.submit(1, policy(0), vec![latency_bound]);
+    driver.submit(2, policy(1), vec![backfill]);
     driver.schedule();
     let starts = driver.confirm_starts();
     driver.advance(500);
     let loads = [(&starts[0], 90), (&starts[1], 4_000)];
     driver.report_loads(starts[0].worker, &loads);
     assert!(driver.answer_paces(false).is_some(), "the first order");
-    let mut repeats = 0;
+    let mut resent = 0;
     for _ in 0..Options::default().order_retry_ms / 2 {
         driver.report_loads(starts[0].worker, &loads);
-        repeats += u32::from(driver.answer_paces(false).is_some());
+        resent += u32::from(driver.answer_paces(false).is_some());
     }
-    assert_eq!(repeats, 0, "orders sent again within 150 ms");
+    assert_eq!(resent, 0, "orders sent again within 150 ms");
 }
 
 /// A worker resets every order, and runs more tasks of a step than may be unavailable. A task that was to start on it
@@ -134,29 +134,46 @@
 #[test]
 fn task_does_not_wait_forever_for_a_worker_at_its_unavailability_limit() {
     let mut driver = Driver::new(2, 4);
-    let lasting = StepSpec {
+    let long_running = StepSpec {
         long_running: true,
         unavailable_limit: Some(1),
         ..step(2, 1)
     };
-    driver.submit(1, policy(0), vec![lasting]);
+    driver.submit(1, policy(0), vec![long_running]);
     driver.schedule();
-    let serving = driver.confirm_starts();
-    let shut = serving[0].worker;
-    assert!(serving.iter().all(|start| start.worker == shut));
+    let running_starts = driver.confirm_starts();
+    let resetting = running_starts[0].worker;
+    assert!(running_starts.iter().all(|start| start.worker == resetting));
     driver.advance(10);
     driver.submit(2, policy(0), vec![step(1, 1)]);
     driver.schedule();
-    let untaken = driver.starts.remove(0);
-    assert_eq!(untaken.worker, shut);
-    answer(&mut driver, &untaken, StartAnswer::InDoubt);
-    let running: Vec<_> = serving.iter().map(|s| (s.task, s.run, 100)).collect();
+    let unaccepted = driver.starts.remove(0);
+    assert_eq!(unaccepted.worker, resetting);
+    answer(&mut driver, &unaccepted, StartAnswer::InDoubt);
+    let running: Vec<_> = running_starts
+        .iter()
+        .map(|s| (s.task, s.run, 100))
+        .collect();
     for _ in 0..600 {
         driver.advance(100);
         driver.renew_leases();
         let workers = driver.workers.clone();
-        driver.report_running(workers[0], if workers[0] == shut { &running } else { &[] });
-        driver.report_running(workers[1], if workers[1] == shut { &running } else { &[] });
+        driver.report_running(
+            workers[0],
+            if workers[0] == resetting {
+                &running
+            } else {
+                &[]
+            },
+        );
+        driver.report_running(
+            workers[1],
+            if workers[1] == resetting {
+                &running
+            } else {
+                &[]
+            },
+        );
         driver.apply(Event::Ticked);
         driver.record();
         driver.schedule();
@@ -169,11 +186,11 @@
             });
         }
         for start in std::mem::take(&mut driver.starts) {
-            if start.worker != shut && start.task == untaken.task {
+            if start.worker != resetting && start.task == unaccepted.task {
                 return;
             }
             answer(&mut driver, &start, StartAnswer::InDoubt);
         }
     }
-    panic!("it waited for a minute: {:?}", driver.status_changes);
+    panic!("the task waited for a minute: {:?}", driver.status_changes);
 }
--- a/crates/sched/tests/core/sharing.rs
+++ b/crates/sched/tests/core/sharing.rs
@@ -1,4 +1,4 @@
-//! Tests of backfill tasks that share workers with latency-sensitive tasks.
+//! Tests of backfill tasks that share workers with latency-bound tasks.
 
 use smol_str::SmolStr;
 use syc_sched::Event;
@@ -33,7 +33,7 @@
     }
 }
 
-/// Returns a driver with one 8-core worker that runs a latency-sensitive and a backfill task.
+/// Returns a driver with one 8-core worker that runs a latency-bound and a backfill task.
 fn shared_worker() -> (Driver, StartOrder, StartOrder) {
     let mut driver = Driver::new(1, 8);
     driver.submit(1, policy(0), vec![serving(1, 3)]);
--- a/crates/sched/tests/schedules/jobs.rs
+++ b/crates/sched/tests/schedules/jobs.rs
@@ -81,7 +81,7 @@
     }
 }
 
-/// Generates a latency-sensitive job with a tail latency limit, and backfill jobs that would exceed the limit
+/// Generates a latency-bound job with a tail latency limit, and backfill jobs that would exceed the limit
 /// at full speed.
 pub fn generate_mixed_workload(rng: &mut SmallRng, fleet: &mut FleetModel) -> Vec<GeneratedJob> {
     fleet.set_tail(
--- a/crates/sched/tests/schedules/main.rs
+++ b/crates/sched/tests/schedules/main.rs
@@ -33,7 +33,7 @@
 #[test_case(Profile { resetting_workers: 4, ..Profile::ALL_FAULTS }; "everything at once and workers that accept no orders")]
 #[test_case(Profile { store_pauses: 4, ..Profile::FAULT_FREE }; "the store pauses")]
 #[test_case(Profile::ALL_FAULTS; "everything at once")]
-#[test_case(Profile { mixed_workload: true, ..Profile::FAULT_FREE }; "latency-sensitive and backfill jobs")]
+#[test_case(Profile { mixed_workload: true, ..Profile::FAULT_FREE }; "latency-bound and backfill jobs")]
 #[test_case(Profile { mixed_workload: true, lost_per_mille: 60, late_per_mille: 60, ..Profile::FAULT_FREE }; "pace orders are lost or late")]
 #[test_case(Profile { wave_concurrency: 1, ..Profile::FAULT_FREE }; "a maintenance wave, one at a time")]
 #[test_case(Profile { wave_concurrency: 2, lost_per_mille: 40, late_per_mille: 40, ..Profile::FAULT_FREE }; "a maintenance wave with orders lost and late")]
@@ -251,7 +251,7 @@
     }
     assert!(
         harmed > 0,
-        "the judge reported no latency-sensitive task as harmed"
+        "the judge reported no latency-bound task as harmed"
     );
 }
 
--- a/crates/sched/tests/schedules/simulation.rs
+++ b/crates/sched/tests/schedules/simulation.rs
@@ -90,7 +90,7 @@
     pub worker_restarts: u32,
     /// Whether workers have less capacity than they report, which the judge must detect.
     pub overstates_capacity: bool,
-    /// Whether the schedule consists of a latency-sensitive job and backfill jobs instead of the usual ones.
+    /// Whether the schedule consists of a latency-bound job and backfill jobs instead of the usual ones.
     pub mixed_workload: bool,
     /// Whether pace orders are not carried out, which the judge must detect.
     pub ignores_pace: bool,
