--- a/crates/sched/src/scheduler.rs
+++ b/crates/sched/src/scheduler.rs
@@ -379,7 +379,7 @@
         if let Some(progress) = progress {
             job.restore(progress);
         }
-        self.insert_open(job, now);
+        self.insert_open_job(job, now);
     }
 
     fn add_job(&mut self, spec: JobSpec, age_ms: u64, now: Millis) {
@@ -392,7 +392,7 @@
             return;
         }
         let accepted_at = Millis(now.0.saturating_sub(age_ms));
-        let key = self.insert_open(Job::new(spec, accepted_at, self.wall_clock), now);
+        let key = self.insert_open_job(Job::new(spec, accepted_at, self.wall_clock), now);
         self.jobs_added += 1;
         self.jobs[key].arrival_number = self.jobs_added;
         self.inherit_if_known_to_predecessor(key);
@@ -400,7 +400,7 @@
         self.expire_unknown_runs_of_job(key, now);
     }
 
-    fn insert_open(&mut self, job: Job, now: Millis) -> JobKey {
+    fn insert_open_job(&mut self, job: Job, now: Millis) -> JobKey {
         let id = job.id();
         let key = self.jobs.insert(job);
         self.job_keys.insert(id, key);
--- a/crates/sched/tests/core/proof.rs
+++ b/crates/sched/tests/core/proof.rs
@@ -25,18 +25,20 @@
     driver.submit(1, policy(0), vec![step(1, 1)]);
     assert!(started(&mut driver).is_empty());
     assert!(driver.scheduler.needs_leadership_proof(driver.now));
-    let (sent_with, sent_at) = (driver.scheduler.jobs_added(), driver.now);
+    let (jobs_added, sent_at) = (driver.scheduler.jobs_added(), driver.now);
     driver.advance(300);
     driver.submit(2, policy(0), vec![step(1, 1)]);
-    driver.scheduler.record_leadership_proof(sent_with, sent_at);
+    driver
+        .scheduler
+        .record_leadership_proof(jobs_added, sent_at);
     assert_eq!(started(&mut driver), [1, 2]);
     driver.now = sent_at.plus(authority_ms);
     driver.submit(3, policy(0), vec![step(1, 1)]);
     assert!(started(&mut driver).is_empty(), "the proof has expired");
-    let sent_with = driver.scheduler.jobs_added();
+    let jobs_added = driver.scheduler.jobs_added();
     driver
         .scheduler
-        .record_leadership_proof(sent_with, driver.now);
+        .record_leadership_proof(jobs_added, driver.now);
     driver.advance(authority_ms);
     assert_eq!(
         started(&mut driver),
--- a/crates/sched/tests/core/sharing.rs
+++ b/crates/sched/tests/core/sharing.rs
@@ -16,7 +16,7 @@
 
 const LIMIT_MS: u64 = 100;
 
-fn serving(tasks: u32, cores: u64) -> StepSpec {
+fn latency_bound_step(tasks: u32, cores: u64) -> StepSpec {
     StepSpec {
         long_running: true,
         image: SmolStr::new_static("shop"),
@@ -25,7 +25,7 @@
     }
 }
 
-fn filling(tasks: u32, cores: u64) -> StepSpec {
+fn backfill_step(tasks: u32, cores: u64) -> StepSpec {
     StepSpec {
         image: SmolStr::new_static("crunch"),
         fills: true,
@@ -36,8 +36,8 @@
 /// Returns a driver with one 8-core worker that runs a latency-bound and a backfill task.
 fn shared_worker() -> (Driver, StartOrder, StartOrder) {
     let mut driver = Driver::new(1, 8);
-    driver.submit(1, policy(0), vec![serving(1, 3)]);
-    driver.submit(2, policy(1), vec![filling(1, 4)]);
+    driver.submit(1, policy(0), vec![latency_bound_step(1, 3)]);
+    driver.submit(2, policy(1), vec![backfill_step(1, 4)]);
     driver.schedule();
     let starts = driver.confirm_starts();
     assert_eq!(starts.len(), 2);
@@ -64,7 +64,7 @@
 fn backfill_reserves_no_cpu() {
     let mut driver = Driver::new(1, 4);
     driver.submit(1, policy(0), vec![step(1, 4)]);
-    driver.submit(2, policy(1), vec![filling(1, 0)]);
+    driver.submit(2, policy(1), vec![backfill_step(1, 0)]);
     driver.schedule();
     assert_eq!(driver.starts.len(), 2);
 }
@@ -76,18 +76,18 @@
         memory_bytes: 1,
         ..cpu(4)
     };
-    let busy = StepSpec {
+    let reserved = StepSpec {
         resources,
         ..step(2, 4)
     };
-    let small = StepSpec {
+    let backfill = StepSpec {
         resources,
-        ..filling(1, 4)
+        ..backfill_step(1, 4)
     };
-    driver.submit(1, policy(0), vec![busy]);
+    driver.submit(1, policy(0), vec![reserved]);
     driver.schedule();
     driver.confirm_starts();
-    driver.submit(2, policy(1), vec![small]);
+    driver.submit(2, policy(1), vec![backfill]);
     driver.schedule();
     assert!(driver.starts.is_empty(), "no CPU is unused");
     driver.advance(3_500);
@@ -146,7 +146,10 @@
     let (before, shop, crunch) = shared_worker();
     let mut driver = Driver::new(0, 0);
     driver.now = before.now;
-    for (id, steps) in [(1, vec![serving(1, 3)]), (2, vec![filling(1, 4)])] {
+    for (id, steps) in [
+        (1, vec![latency_bound_step(1, 3)]),
+        (2, vec![backfill_step(1, 4)]),
+    ] {
         driver.restore(id, policy(0), steps, None);
     }
     driver.apply(Event::WorkerListed(worker(0, 8)));
@@ -160,11 +163,11 @@
     let mut driver = Driver::new(2, 8);
     let quiet = StepSpec {
         image: SmolStr::new_static("files"),
-        ..serving(1, 3)
+        ..latency_bound_step(1, 3)
     };
-    driver.submit(1, policy(0), vec![serving(1, 3)]);
+    driver.submit(1, policy(0), vec![latency_bound_step(1, 3)]);
     driver.submit(2, policy(0), vec![quiet]);
-    driver.submit(3, policy(1), vec![filling(2, 4)]);
+    driver.submit(3, policy(1), vec![backfill_step(2, 4)]);
     driver.schedule();
     let starts = driver.confirm_starts();
     assert_eq!(starts.len(), 4);
@@ -183,7 +186,7 @@
         driver.report_end(done, RunEnd::Done, &[(beside.task, beside.run, 100)]);
     }
     driver.record();
-    driver.submit(4, policy(1), vec![filling(1, 4)]);
+    driver.submit(4, policy(1), vec![backfill_step(1, 4)]);
     driver.schedule();
     assert_eq!(driver.starts.len(), 1);
     assert_eq!(driver.starts[0].worker, files.worker);
--- a/crates/sched/tests/schedules/main.rs
+++ b/crates/sched/tests/schedules/main.rs
@@ -52,7 +52,7 @@
 fn nothing_runs_twice_and_every_job_ends_as_it_must(profile: Profile) {
     for seed in 1..=SEEDS {
         let mut simulation = Simulation::new(seed, profile, Options::default());
-        simulation.play();
+        simulation.run();
         assert_eq!(simulation.faults(), [], "seed {seed}");
         assert_eq!(simulation.unexpected_states(), [], "seed {seed}");
         assert!(simulation.waves_are_completed(), "seed {seed}");
@@ -68,7 +68,7 @@
 fn a_task_that_takes_its_workers_down_is_given_up_and_no_other_is(profile: Profile) {
     for seed in 1..=SEEDS {
         let mut simulation = Simulation::new(seed, profile, Options::default());
-        simulation.play();
+        simulation.run();
         assert_eq!(simulation.faults(), [], "seed {seed}");
         assert_eq!(simulation.unexpected_states(), [], "seed {seed}");
     }
@@ -82,7 +82,7 @@
 #[test_case(751, Profile { crashing_jobs: 3, ..Profile::ALL_FAULTS }; "and everything at once, second")]
 fn crashes_missed_by_consecutive_schedulers_are_counted(seed: u64, profile: Profile) {
     let mut simulation = Simulation::new(seed, profile, Options::default());
-    simulation.play();
+    simulation.run();
     assert_eq!(simulation.faults(), []);
 }
 
@@ -95,7 +95,7 @@
         ..Profile::ALL_FAULTS
     };
     let mut simulation = Simulation::new(755, profile, Options::default());
-    simulation.play();
+    simulation.run();
     assert_eq!(simulation.faults(), []);
 }
 
@@ -107,7 +107,7 @@
         ..Profile::ALL_FAULTS
     };
     let mut simulation = Simulation::new(366, profile, Options::default());
-    simulation.play();
+    simulation.run();
     assert_eq!(simulation.faults(), []);
 }
 
@@ -119,7 +119,7 @@
         ..Profile::FAULT_FREE
     };
     let mut simulation = Simulation::new(909, profile, Options::default());
-    simulation.play();
+    simulation.run();
     assert_eq!(simulation.faults(), []);
     assert_eq!(simulation.unexpected_states(), []);
 }
@@ -139,7 +139,7 @@
     let (mut faults, mut unexpected) = (Vec::new(), Vec::new());
     for seed in 1..=MANY_SEEDS {
         let mut simulation = Simulation::new(seed, profile, Options::default());
-        simulation.play();
+        simulation.run();
         faults.extend(simulation.faults().into_iter().map(|fault| (seed, fault)));
         unexpected.extend(
             simulation
@@ -147,7 +147,7 @@
                 .into_iter()
                 .map(|end| (seed, end)),
         );
-        for count in simulation.taken_down() {
+        for count in simulation.crashed_workers_per_task() {
             workers[usize::try_from(count).unwrap_or(7).min(7)] += 1;
         }
     }
@@ -167,7 +167,7 @@
         Options::default(),
     );
     simulation.report_crashes_as_draining();
-    simulation.play();
+    simulation.run();
     let faults = simulation.faults();
     let mut beyond = faults
         .iter()
@@ -178,7 +178,7 @@
 #[test]
 fn judge_detects_jobs_failed_without_cause() {
     let mut simulation = Simulation::new(1, Profile::FAULT_FREE, Options::default());
-    simulation.play();
+    simulation.run();
     let mut judge = simulation.judge();
     let jobs: Vec<_> = simulation.completed().collect();
     for id in &jobs {
@@ -197,17 +197,20 @@
         authority_ms: 0,
         ..Options::default()
     };
-    let mut twice = 0;
+    let mut running_twice = 0;
     for seed in 1..=SEEDS {
         let mut simulation = Simulation::new(seed, profile, options);
-        simulation.play();
+        simulation.run();
         let faults = simulation.faults();
-        twice += faults
+        running_twice += faults
             .iter()
             .filter(|fault| matches!(fault, Fault::Twice(_)))
             .count();
     }
-    assert!(twice > 0, "the judge reported no task as running twice");
+    assert!(
+        running_twice > 0,
+        "the judge reported no task as running twice"
+    );
 }
 
 /// The limits of a wave and of a step are deliberately hidden from the scheduler.
@@ -218,18 +221,18 @@
         hides_limits: true,
         ..Profile::FAULT_FREE
     };
-    let (mut down, mut away) = (0, 0);
+    let (mut down, mut unavailable) = (0, 0);
     for seed in 1..=10 {
         let mut simulation = Simulation::new(seed, profile, Options::default());
-        simulation.play();
+        simulation.run();
         for fault in simulation.faults() {
             down += u32::from(matches!(fault, Fault::TooManyDown(_)));
-            away += u32::from(matches!(fault, Fault::TooManyAway(_)));
+            unavailable += u32::from(matches!(fault, Fault::TooManyAway(_)));
         }
     }
     assert!(
-        down > 0 && away > 0,
-        "{down} reports of VMs down, {away} of unavailable tasks"
+        down > 0 && unavailable > 0,
+        "{down} reports of VMs down, {unavailable} of unavailable tasks"
     );
 }
 
@@ -244,7 +247,7 @@
     let mut harmed = 0;
     for seed in 1..=10 {
         let mut simulation = Simulation::new(seed, profile, Options::default());
-        simulation.play();
+        simulation.run();
         let faults = simulation.faults();
         let is_harmed = |fault: &&Fault| matches!(fault, Fault::Harmed(_));
         harmed += faults.iter().filter(is_harmed).count();
@@ -276,7 +279,7 @@
     let mut over = 0;
     for seed in 1..=10 {
         let mut simulation = Simulation::new(seed, profile, Options::default());
-        simulation.play();
+        simulation.run();
         let faults = simulation.faults();
         let is_over_capacity = |fault: &&Fault| matches!(fault, Fault::OverCapacity(_));
         over += faults.iter().filter(is_over_capacity).count();
--- a/crates/sched/tests/schedules/simulation.rs
+++ b/crates/sched/tests/schedules/simulation.rs
@@ -309,7 +309,7 @@
         simulation
     }
 
-    pub fn play(&mut self) {
+    pub fn run(&mut self) {
         while self.now.0 < END_MS {
             self.now = self.now.plus(TICK_MS);
             self.fleet.advance(self.now);
@@ -324,8 +324,8 @@
             self.check_count();
             self.write();
             let all_ended = self.unexpected_states().is_empty() && self.vms.all_completed();
-            let over = self.now.0 > FAULTS_UNTIL_MS + 15_000 && all_ended;
-            if over {
+            let is_finished = self.now.0 > FAULTS_UNTIL_MS + 15_000 && all_ended;
+            if is_finished {
                 return;
             }
         }
@@ -344,7 +344,7 @@
     }
 
     /// Returns the number of crashed workers for each task that crashes workers.
-    pub fn taken_down(&self) -> Vec<u32> {
+    pub fn crashed_workers_per_task(&self) -> Vec<u32> {
         let judge = &self.fleet.judge;
         judge.taken_down().map(|(_, workers)| workers).collect()
     }
--- a/crates/sched/tests/schedules/simulation/workers.rs
+++ b/crates/sched/tests/schedules/simulation/workers.rs
@@ -19,7 +19,7 @@
 const HEARTBEATS_MISSED: u64 = 3;
 
 /// Reduced capacity is enforced after this time and one more heartbeat.
-const ROOM_GRACE_MS: u64 = 3_000;
+const CAPACITY_GRACE_MS: u64 = 3_000;
 
 impl Simulation {
     /// Schedules the return of crashed workers on their VMs.
@@ -64,13 +64,13 @@
     pub(super) fn reduce_capacity(&mut self, id: &WorkerId) {
         let cores = self.rng.random_range(1..CORES);
         self.set_capacity(id, cores);
-        let small_ms = self.rng.random_range(500..12_000);
-        self.schedule(small_ms, Delivery::CapacityChanges(id.clone(), CORES));
+        let reduced_ms = self.rng.random_range(500..12_000);
+        self.schedule(reduced_ms, Delivery::CapacityChanges(id.clone(), CORES));
     }
 
     /// Changes the capacity of a worker, which it reports with its next heartbeat.
     pub(super) fn set_capacity(&mut self, id: &WorkerId, cores: u64) {
-        let counts_until = self.now.plus(ROOM_GRACE_MS + HEARTBEAT_MS);
+        let counts_until = self.now.plus(CAPACITY_GRACE_MS + HEARTBEAT_MS);
         self.fleet.resize(id, cpu(cores), counts_until);
         let now = self.now;
         if let Some(incarnation) = self.registered.get_mut(id) {
