--- a/crates/sched/src/orders.rs
+++ b/crates/sched/src/orders.rs
@@ -62,8 +62,8 @@
         let Some(run_state) = worker.runs.get_mut(&(task, run)) else {
             return;
         };
-        run_state.copies = run_state.copies.saturating_sub(1);
-        if run_state.copies > 0 || run_state.reported {
+        run_state.start_copies = run_state.start_copies.saturating_sub(1);
+        if run_state.start_copies > 0 || run_state.reported {
             return;
         }
         // Prefers other workers for the next attempt.
@@ -85,7 +85,7 @@
             return;
         };
         // An earlier copy of the order may have been executed, which the worker's reports will show.
-        let in_doubt = run_state.copies > 1 && refusal == StartRefusal::OldRun;
+        let in_doubt = run_state.start_copies > 1 && refusal == StartRefusal::OldRun;
         if in_doubt || run_state.reported {
             self.stop_run(key, task, run, StopReason::StartInDoubt, now);
             return;
@@ -107,7 +107,7 @@
         let retried = self.workers[key]
             .runs
             .get(&(task, run))
-            .is_some_and(|run_state| run_state.copies > 1);
+            .is_some_and(|run_state| run_state.start_copies > 1);
         if retried {
             // The first copy of the order may still arrive.
             self.stop_run(key, task, run, StopReason::StartInDoubt, now);
--- a/crates/sched/tests/core/preemption.rs
+++ b/crates/sched/tests/core/preemption.rs
@@ -1,4 +1,4 @@
-//! Stopping less urgent work to make room.
+//! Preemption of less urgent work.
 
 use syc_sched::Event;
 use syc_sched::RunEnd;
@@ -9,7 +9,7 @@
 use crate::driver::policy;
 use crate::driver::step;
 
-fn fill_with(driver: &mut Driver, steps: Vec<StepSpec>) -> usize {
+fn fill_workers(driver: &mut Driver, steps: Vec<StepSpec>) -> usize {
     driver.submit(1, policy(2), steps);
     driver.schedule();
     let started = driver.confirm_starts();
@@ -28,7 +28,7 @@
         checkpointed: true,
         ..step(4, 1)
     };
-    assert_eq!(fill_with(&mut driver, vec![saved]), 4);
+    assert_eq!(fill_workers(&mut driver, vec![saved]), 4);
     driver.submit(2, policy(0), vec![step(1, 2)]);
     driver.schedule();
     assert_eq!(driver.stops.len(), 2);
@@ -48,7 +48,7 @@
         gang: true,
         ..step(8, 1)
     };
-    assert_eq!(fill_with(&mut driver, vec![gang]), 8);
+    assert_eq!(fill_workers(&mut driver, vec![gang]), 8);
     driver.submit(2, policy(0), vec![step(1, 2)]);
     driver.schedule();
     assert_eq!(driver.stops, []);
@@ -57,7 +57,7 @@
 #[test]
 fn work_without_checkpoints_is_not_preempted() {
     let mut driver = Driver::new(1, 4);
-    assert_eq!(fill_with(&mut driver, vec![step(4, 1)]), 4);
+    assert_eq!(fill_workers(&mut driver, vec![step(4, 1)]), 4);
     driver.submit(2, policy(0), vec![step(1, 2)]);
     driver.schedule();
     assert_eq!(driver.stops, []);
@@ -78,7 +78,7 @@
         }
         started
     };
-    // Ten of the forty cores have been used by urgent work for a while.
+    // Urgent work uses ten of the forty cores for a while.
     let started = urgent(1, &mut driver);
     for _ in 0..200 {
         driver.advance(100);
