--- a/crates/sched/src/vms.rs
+++ b/crates/sched/src/vms.rs
@@ -171,7 +171,7 @@
         for worker in self.workers.values() {
             // The last report of a silent worker may be as old as its lease, and nobody is served there meanwhile.
             // Runs on a worker whose lease is being let lapse are about to end.
-            if worker.silent || worker.contact.withholds_lease {
+            if worker.silent || worker.breaker.withholds_lease {
                 continue;
             }
             let runs = worker.runs_of(step);
