--- a/crates/cell/src/follow.rs
+++ b/crates/cell/src/follow.rs
@@ -1,4 +1,4 @@
-//! Follows the configuration and the upkeep waves that operators publish in the store.
+//! Follows the configuration and the maintenance waves that operators publish in the store.
 
 use std::rc::Rc;
 
--- a/crates/cell/src/leader.rs
+++ b/crates/cell/src/leader.rs
@@ -454,7 +454,7 @@
         max_lease_ms: longest_ms + longest_drift_ms + MAX_ORDER_DELAY_MS,
         max_stop_ms: settings.stop_limit_ms,
         ended_job_retention_ms: settings.status_ms + status_drift_ms,
-        maintenance_ms: settings.upkeep_ms,
+        maintenance_ms: settings.maintenance_ms,
         vm_order_pause_ms: settings.vm_order_pause_ms,
         order_retry_ms: settings.timing.order_timeout_ms,
         capacity_report_deadline_ms: settings.worker_heartbeat_ms * MAX_MISSED_HEARTBEATS
--- a/crates/cell/src/leader/vms.rs
+++ b/crates/cell/src/leader/vms.rs
@@ -94,7 +94,7 @@
     pub(super) fn order_vm(self: &Rc<Self>, vm: VmId, duty: VmOperation) {
         let command = VmCommand {
             vm,
-            duty,
+            operation: duty,
             holder: self.node.settings.name.clone(),
             token: self.token,
         };
@@ -126,7 +126,7 @@
         log::vm_ordered(&command, answer, ordered.err().as_ref());
         self.apply(Event::VmOrderAnswered {
             vm: command.vm,
-            duty: command.duty,
+            duty: command.operation,
             answer,
         });
     }
--- a/crates/cell/src/log.rs
+++ b/crates/cell/src/log.rs
@@ -295,10 +295,10 @@
 pub(crate) fn vm_ordered(command: &VmCommand, answer: VmOrderAnswer, error: Option<&VmOrderError>) {
     let line = Line::new(catalogue::VM_ORDERED)
         .text("vm", command.vm.as_str())
-        .text("duty", command.duty.as_str())
+        .text("duty", command.operation.as_str())
         .number("token", command.token)
         .text("answer", answer.as_str());
-    let line = match &command.duty {
+    let line = match &command.operation {
         VmOperation::Maintenance { wave } => line.number("wave", *wave),
         VmOperation::Move { pool } => line.text("pool", pool.as_str()),
     };
--- a/crates/cell/src/node.rs
+++ b/crates/cell/src/node.rs
@@ -56,7 +56,7 @@
     pub token: u64,
 }
 
-/// A wave of VM upkeep, and when this node first read it.
+/// A wave of VM maintenance, and when this node first read it.
 #[derive(Debug, Clone)]
 pub(crate) struct PublishedWave {
     pub(crate) wave: Wave,
@@ -80,7 +80,7 @@
     /// Identifies this run of the process.
     pub(crate) incarnation: u64,
     pub(crate) configuration: RefCell<Option<Rc<Configuration>>>,
-    /// Waves of VM upkeep that operators have published.
+    /// Waves of VM maintenance that operators have published.
     pub(crate) waves: RefCell<Vec<PublishedWave>>,
     pub(crate) store: StoreHealth,
     pub(crate) holder: RefCell<Option<Holder>>,
--- a/crates/cell/src/ports.rs
+++ b/crates/cell/src/ports.rs
@@ -42,7 +42,7 @@
     Holders,
     /// Registered workers. Read only.
     Workers,
-    /// Configuration and upkeep waves that operators publish. Read only.
+    /// Configuration and maintenance waves that operators publish. Read only.
     Operators,
     /// Status reports to operators.
     Status,
@@ -451,13 +451,13 @@
 #[error("failed to list VMs: {0}")]
 pub struct ListVmsError(pub SmolStr);
 
-/// Order to act on a VM.
+/// Order to perform an operation on a VM.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VmCommand {
-    /// VM to act on.
+    /// Target of the operation.
     pub vm: VmId,
-    /// Action to perform.
-    pub duty: VmOperation,
+    /// Operation to perform.
+    pub operation: VmOperation,
     /// Node that sends the order.
     pub holder: SmolStr,
     /// Fencing token of the scheduler that sends the order.
@@ -490,7 +490,7 @@
         timeout_ms: u64,
     ) -> impl Future<Output = Result<VmPage, ListVmsError>>;
 
-    /// Performs an action on a VM. Repeating an order that was carried out succeeds.
+    /// Performs an operation on a VM. Repeating an order that was carried out succeeds.
     fn order_vm(
         &self,
         command: &VmCommand,
@@ -503,7 +503,7 @@
 pub enum Published {
     /// Configuration of the cell.
     Configuration(Configuration),
-    /// Wave of VMs that are due for upkeep.
+    /// Wave of VMs that are due for maintenance.
     Wave(Wave),
     /// Record of a kind that nodes ignore.
     Other,
--- a/crates/cell/src/records.rs
+++ b/crates/cell/src/records.rs
@@ -28,7 +28,7 @@
 /// Prefix of the keys of roster records.
 const ROSTER_PREFIX: &str = "workers/";
 
-/// Prefix of the keys of records with the progress of an upkeep wave.
+/// Prefix of the keys of records with the progress of an maintenance wave.
 const WAVE_PREFIX: &str = "waves/";
 
 /// Most workers in one roster record: about 50 kB, well below the store's size limit.
@@ -176,7 +176,7 @@
     }
 }
 
-/// Progress of an upkeep wave.
+/// Progress of an maintenance wave.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WaveRecord {
     /// Fencing token of the scheduler.
--- a/crates/cell/src/settings.rs
+++ b/crates/cell/src/settings.rs
@@ -37,8 +37,8 @@
     pub link_mbps: f64,
     /// Interval between heartbeats of a worker.
     pub worker_heartbeat_ms: u64,
-    /// Duration of the upkeep of a VM.
-    pub upkeep_ms: u64,
+    /// Duration of the maintenance of a VM.
+    pub maintenance_ms: u64,
     /// How long a new scheduler waits before it sends orders to VMs, so that its predecessor's orders have expired.
     pub vm_order_pause_ms: u64,
     /// Source of the wall-clock time.
--- a/crates/cell/tests/cell/cluster.rs
+++ b/crates/cell/tests/cell/cluster.rs
@@ -343,7 +343,7 @@
         partitions: 4,
         link_mbps: LINK_MBPS,
         worker_heartbeat_ms: 1_500,
-        upkeep_ms: 300,
+        maintenance_ms: 300,
         vm_order_pause_ms: 100,
         wall_clock: WallClock::default(),
         timing: Timing::default(),
--- a/crates/fleet/src/vms.rs
+++ b/crates/fleet/src/vms.rs
@@ -177,7 +177,7 @@
             return Err(VmOrderError::Fenced);
         }
         vm.token = command.token;
-        let is_done = match &command.duty {
+        let is_done = match &command.operation {
             VmOperation::Maintenance { wave } => {
                 let of_wave = self.waves.get(wave);
                 if !of_wave.is_some_and(|of_wave| of_wave.vms.contains(&command.vm)) {
@@ -193,7 +193,7 @@
         if vm.state != VmState::Up {
             return Err(VmOrderError::Busy);
         }
-        match &command.duty {
+        match &command.operation {
             VmOperation::Maintenance { wave } => self.begin_upkeep(&command.vm, *wave),
             VmOperation::Move { pool } => {
                 vm.state = VmState::Moving;
--- a/crates/sched/tests/schedules/simulation/orders.rs
+++ b/crates/sched/tests/schedules/simulation/orders.rs
@@ -204,7 +204,7 @@
     pub(super) fn send_vm_order(&mut self, vm: VmId, duty: VmOperation) {
         let command = VmCommand {
             vm: vm.clone(),
-            duty: duty.clone(),
+            operation: duty.clone(),
             holder: "holder".into(),
             token: self.token,
         };
