--- a/crates/sched/tests/core/counts.rs
+++ b/crates/sched/tests/core/counts.rs
@@ -28,7 +28,7 @@
 use crate::driver::step;
 
 /// Creates a cell with one worker and one job, whose start has been ordered but not answered.
-fn ordered() -> (Driver, StartOrder) {
+fn cell_with_unanswered_order() -> (Driver, StartOrder) {
     let mut driver = Driver::new(1, 4);
     driver.submit(1, policy(0), vec![step(1, 1)]);
     driver.schedule();
@@ -45,25 +45,25 @@
     });
 }
 
-fn waiting(driver: &Driver) -> usize {
+fn waiting_jobs(driver: &Driver) -> usize {
     driver.scheduler.pending_jobs(&policy(0).queue)
 }
 
 #[test]
 fn job_with_unanswered_orders_counts_as_waiting() {
-    let (mut driver, order) = ordered();
-    assert_eq!(waiting(&driver), 1, "only the order is known");
+    let (mut driver, order) = cell_with_unanswered_order();
+    assert_eq!(waiting_jobs(&driver), 1, "only the order is known");
     answer(&mut driver, &order, StartAnswer::InDoubt);
     driver.apply(Event::RenewalFailed {
         worker: order.worker,
     });
-    assert_eq!(waiting(&driver), 1);
+    assert_eq!(waiting_jobs(&driver), 1);
     assert_eq!(driver.state(1), Some(JobState::Queued));
 }
 
 #[test]
 fn successor_counts_job_with_only_a_recorded_order_as_waiting() {
-    let (mut driver, order) = ordered();
+    let (mut driver, order) = cell_with_unanswered_order();
     answer(&mut driver, &order, StartAnswer::InDoubt);
     let written = driver
         .scheduler
@@ -72,7 +72,7 @@
     let mut successor = Driver::new(0, 0);
     successor.restore(1, policy(0), vec![step(1, 1)], progress);
     successor.scheduler.begin_recovery(successor.now);
-    assert_eq!(waiting(&successor), 1);
+    assert_eq!(waiting_jobs(&successor), 1);
     assert_eq!(successor.state(1), Some(JobState::Queued));
 }
 
@@ -88,20 +88,20 @@
 #[test_case(RunEvidence::Listed; "a run that is listed")]
 #[test_case(RunEvidence::Ended; "an end that is listed")]
 fn job_has_started_once_its_worker_reports_a_run(word: RunEvidence) {
-    let (mut driver, order) = ordered();
+    let (mut driver, order) = cell_with_unanswered_order();
     match word {
         RunEvidence::Answered => answer(&mut driver, &order, StartAnswer::Started),
         RunEvidence::Listed => driver.report_running(order.worker, &[(order.task, order.run, 0)]),
         RunEvidence::Ended => driver.report_end(&order, RunEnd::Failed, &[]),
     }
-    assert_eq!(waiting(&driver), 0);
+    assert_eq!(waiting_jobs(&driver), 0);
 }
 
 /// The record written with an order says that the job is queued. If no record followed the start, a job that was
 /// visible as running would be visible as queued after a takeover, until its worker answers.
 #[test]
 fn job_visible_as_running_stays_so_after_takeover() {
-    let (mut driver, order) = ordered();
+    let (mut driver, order) = cell_with_unanswered_order();
     let _with_the_order = driver
         .scheduler
         .take_records(usize::MAX, driver.now, TimeOfDay(1));
--- a/crates/sched/tests/core/orphans.rs
+++ b/crates/sched/tests/core/orphans.rs
@@ -45,7 +45,7 @@
 }
 
 /// Lets all workers but the first report that nothing runs on them.
-fn others_answer(driver: &mut Driver) {
+fn report_others_idle(driver: &mut Driver) {
     for key in driver.workers.clone().into_iter().skip(1) {
         driver.report_running(key, &[]);
     }
@@ -53,7 +53,7 @@
 }
 
 /// Reads everything stored up to now.
-fn read_on(driver: &mut Driver) {
+fn read_all_jobs(driver: &mut Driver) {
     driver.advance(1);
     driver.scheduler.set_jobs_read(driver.now);
     driver.apply(Event::Ticked);
@@ -67,11 +67,11 @@
     driver.report(first, &[], &[(task(0), Run(1), RunEnd::Done)]);
     assert_eq!(driver.scheduler.acknowledged_ends(first), (0, true));
     if taken_over {
-        others_answer(&mut driver);
+        report_others_idle(&mut driver);
         assert!(driver.scheduler.is_recovered());
     }
     driver.submit(JOB, policy(0), vec![step(1, 1)]);
-    others_answer(&mut driver);
+    report_others_idle(&mut driver);
     driver.schedule();
     assert!(driver.starts.is_empty(), "it is done");
     assert_eq!(driver.scheduler.acknowledged_ends(first), (0, true));
@@ -85,7 +85,7 @@
     let mut driver = successor(2);
     let first = driver.workers[0];
     driver.report_running(first, &[(task(0), Run(1), 40)]);
-    others_answer(&mut driver);
+    report_others_idle(&mut driver);
     driver.report_running(first, &[(task(0), Run(1), 60)]);
     driver.submit(JOB, policy(0), vec![step(1, 1)]);
     driver.schedule();
@@ -103,7 +103,7 @@
     let first = driver.workers[0];
     driver.report_running(first, &[(task(0), Run(1), 40)]);
     driver.report(first, &[], &[(task(0), Run(1), RunEnd::Failed)]);
-    others_answer(&mut driver);
+    report_others_idle(&mut driver);
     driver.submit(JOB, policy(0), vec![step(1, 1)]);
     driver.record();
     driver.schedule();
@@ -116,7 +116,7 @@
     let mut driver = successor(2);
     let first = driver.workers[0];
     driver.report_running(first, &[(task(0), Run(1), 0)]);
-    others_answer(&mut driver);
+    report_others_idle(&mut driver);
     let gang = StepSpec {
         gang: true,
         ..step(2, 1)
@@ -140,7 +140,7 @@
     driver.report(only, &[(task(0), Run(1), 10)], &ended);
     driver.apply(Event::Ticked);
     assert_eq!(driver.stops, []);
-    read_on(&mut driver);
+    read_all_jobs(&mut driver);
     assert_eq!(driver.stops.len(), 1);
     assert_eq!(driver.scheduler.acknowledged_ends(only), (1, false));
 }
@@ -167,7 +167,7 @@
         (task(1), Run(1), RunEnd::Done),
     ];
     driver.report(first, &[], &ended);
-    others_answer(&mut driver);
+    report_others_idle(&mut driver);
     driver.schedule();
     assert!(driver.starts.is_empty(), "both are done");
     driver.record();
@@ -180,7 +180,7 @@
     let first = driver.workers[0];
     driver.submit(JOB, policy(0), vec![step(1, 1)]);
     driver.report_running(first, &[(task(0), Run(1), 40)]);
-    others_answer(&mut driver);
+    report_others_idle(&mut driver);
     driver.schedule();
     assert!(driver.starts.is_empty(), "it runs");
     assert_eq!(driver.stops, []);
--- a/crates/sched/tests/core/preemption.rs
+++ b/crates/sched/tests/core/preemption.rs
@@ -9,7 +9,7 @@
 use crate::driver::policy;
 use crate::driver::step;
 
-fn fill_with(driver: &mut Driver, steps: Vec<StepSpec>) -> usize {
+fn fill_workers(driver: &mut Driver, steps: Vec<StepSpec>) -> usize {
     driver.submit(1, policy(2), steps);
     driver.schedule();
     let started = driver.confirm_starts();
@@ -28,7 +28,7 @@
         checkpointed: true,
         ..step(4, 1)
     };
-    assert_eq!(fill_with(&mut driver, vec![saved]), 4);
+    assert_eq!(fill_workers(&mut driver, vec![saved]), 4);
     driver.submit(2, policy(0), vec![step(1, 2)]);
     driver.schedule();
     assert_eq!(driver.stops.len(), 2);
@@ -48,7 +48,7 @@
         gang: true,
         ..step(8, 1)
     };
-    assert_eq!(fill_with(&mut driver, vec![gang]), 8);
+    assert_eq!(fill_workers(&mut driver, vec![gang]), 8);
     driver.submit(2, policy(0), vec![step(1, 2)]);
     driver.schedule();
     assert_eq!(driver.stops, []);
@@ -57,7 +57,7 @@
 #[test]
 fn work_without_checkpoints_is_not_preempted() {
     let mut driver = Driver::new(1, 4);
-    assert_eq!(fill_with(&mut driver, vec![step(4, 1)]), 4);
+    assert_eq!(fill_workers(&mut driver, vec![step(4, 1)]), 4);
     driver.submit(2, policy(0), vec![step(1, 2)]);
     driver.schedule();
     assert_eq!(driver.stops, []);
