--- a/crates/cell/src/store_calls.rs
+++ b/crates/cell/src/store_calls.rs
@@ -6,7 +6,7 @@
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
 use smol_str::SmolStr;
-use syc_admit::Pace;
+use syc_admit::LatencyEstimate;
 use syc_types::Millis;
 
 use crate::Node;
@@ -61,10 +61,10 @@
     last_failure_at: Cell<Millis>,
     last_answer_at: Cell<Millis>,
     /// How long appends take, but for those of jobs: admission keeps the pace of these.
-    append_latency: Cell<Pace>,
+    append_latency: Cell<LatencyEstimate>,
     /// How long the calls took that were answered. Unlike the pace, it says nothing of those that were not: a store
     /// that is away is not slow.
-    answer_latency: Cell<Pace>,
+    answer_latency: Cell<LatencyEstimate>,
     /// When the latest of the calls that were answered had been sent, but for reads that may wait.
     answered_sent_at: Cell<Millis>,
 }
@@ -76,8 +76,8 @@
             answers: Cell::new(true),
             last_failure_at: Cell::new(began),
             last_answer_at: Cell::new(began),
-            append_latency: Cell::new(Pace::new(INITIAL_APPEND_MS)),
-            answer_latency: Cell::new(Pace::new(0)),
+            append_latency: Cell::new(LatencyEstimate::new(INITIAL_APPEND_MS)),
+            answer_latency: Cell::new(LatencyEstimate::new(0)),
             answered_sent_at: Cell::new(began),
         }
     }
@@ -90,32 +90,32 @@
         }
         self.answered_sent_at.set(sent_at);
         let mut latency = self.answer_latency.get();
-        latency.took(now().since(sent_at));
+        latency.record(now().since(sent_at));
         self.answer_latency.set(latency);
     }
 
     /// Returns the time that a call is given which a sound store answers within the least.
     fn latency_timeout_ms(&self, min_ms: u64) -> u64 {
-        let by_latency = self.answer_latency.get().usual_ms() * LATENCY_FACTOR;
+        let by_latency = self.answer_latency.get().estimate_ms() * LATENCY_FACTOR;
         by_latency.min(TIMEOUT_MAX_MS).max(min_ms)
     }
 
     fn record_append(&self, sent_at: Millis) {
         self.record_answer(sent_at);
         let mut latency = self.append_latency.get();
-        latency.took(now().since(sent_at));
+        latency.record(now().since(sent_at));
         self.append_latency.set(latency);
     }
 
     fn record_timeout(&self) {
         let mut latency = self.append_latency.get();
-        latency.got_none();
+        latency.record_timeout();
         self.append_latency.set(latency);
     }
 
     /// Returns the time that an append takes.
     const fn append_ms(&self) -> u64 {
-        self.append_latency.get().usual_ms()
+        self.append_latency.get().estimate_ms()
     }
 
     /// Returns when the latest of the calls that were answered had been sent, but for reads that may wait.
--- a/crates/sched/src/gang.rs
+++ b/crates/sched/src/gang.rs
@@ -6,9 +6,9 @@
 use crate::StopReason;
 use crate::WorkerKey;
 use crate::ids::JobKey;
-use crate::place::victims;
+use crate::placement::find_victims;
 use crate::units::UnitRef;
-use crate::worker::fits;
+use crate::worker::fit_count;
 
 /// While a gang waits for capacity to be freed, tickets that are valid for less than this are renewed.
 const MIN_TICKET_VALIDITY_MS: u64 = 300;
@@ -46,14 +46,14 @@
         }
         let needs_advice = self.jobs[job_key].spec.policy.advice.is_some();
         if needs_advice && self.jobs[job_key].steps[step_index].advice.call_count == 0 {
-            self.ask_for_gang(job_key, step_index, now);
+            self.request_gang_advice(job_key, step_index, now);
             return;
         }
         let candidates = self.gang_candidates(job_key, step_index, now);
         let Some(plan) = self.plan_gang(job_key, step_index, &candidates) else {
             // Ending runs free capacity, so more workers are queried only if that cannot suffice.
             if !self.has_capacity_for_gang(job_key, step_index, &candidates) {
-                self.ask_for_gang(job_key, step_index, now);
+                self.request_gang_advice(job_key, step_index, now);
             }
             return;
         };
@@ -78,7 +78,7 @@
                 return;
             }
             let worker = &self.workers[*key];
-            has_capacity &= !reservation.isolated || !worker.has_probation();
+            has_capacity &= !reservation.isolated || !worker.has_run_on_probation();
             has_capacity &= need.saturating_mul(*count).fits_in(&worker.free());
             if !self.has_ticket(job_key, step_index, *key, now) {
                 stale.push(*key);
@@ -89,17 +89,17 @@
                 && !self.tickets_stay_valid(job_key, step_index, &reservation.workers, now))
         {
             let workers: Vec<_> = reservation.workers.iter().map(|(key, _)| *key).collect();
-            self.ask_again(job_key, step_index, &workers, now);
+            self.renew_tickets(job_key, step_index, &workers, now);
         }
         if has_capacity && stale.is_empty() {
             let unit = 0;
-            if self.is_announced(UnitRef {
+            if self.ensure_announced(UnitRef {
                 job: job_key,
                 step: step_index,
                 unit,
             }) {
                 let members: Vec<_> = reservation.members().collect();
-                self.free_reserved(job_key, step_index, unit);
+                self.drop_reservation(job_key, step_index, unit);
                 self.start_unit(job_key, step_index, unit, &members, now);
                 return;
             }
@@ -133,7 +133,7 @@
         let limit = spec.max_tasks_per_worker();
         let mut held = 0;
         for key in candidates {
-            held += fits(
+            held += fit_count(
                 &self.workers[*key].spec.capacity,
                 &spec.reserved_resources(),
                 limit,
@@ -146,11 +146,11 @@
     fn gang_candidates(&self, job_key: JobKey, step_index: usize, now: Millis) -> Vec<WorkerKey> {
         let job = &self.jobs[job_key];
         let step = &job.steps[step_index];
-        let mut candidates = self.eligible(step.spec.required_label.as_ref(), job, now);
+        let mut candidates = self.eligible_workers(step.spec.required_label.as_ref(), job, now);
         if job.spec.policy.advice.is_some() {
             candidates.retain(|key| step.advice.tickets.contains_key(key));
         }
-        let avoid = self.avoided(job_key, step_index, 0, now);
+        let avoid = self.avoided_workers(job_key, step_index, 0, now);
         candidates.retain(|key| !avoid.contains(key));
         if step.units[0].crashes() > 0 {
             candidates.retain(|key| !self.workers[*key].has_suspect());
@@ -239,14 +239,14 @@
         let mut offers = Vec::new();
         for key in candidates {
             let worker = &self.workers[*key];
-            let limit = limit.saturating_sub(worker.tasks_of(id));
-            let free = fits(&worker.room(), &spec.reserved_resources(), limit);
+            let limit = limit.saturating_sub(worker.count_runs_of(id));
+            let free = fit_count(&worker.available(), &spec.reserved_resources(), limit);
             let mut with_preemption = free;
             while with_preemption < limit {
                 let more = spec
                     .reserved_resources()
                     .saturating_mul(with_preemption + 1);
-                if victims(worker, &more, priority).is_none() {
+                if find_victims(worker, &more, priority).is_none() {
                     break;
                 }
                 with_preemption += 1;
@@ -269,7 +269,7 @@
         let mut stops = Vec::new();
         for (key, count) in &plan.workers {
             let needed = need.saturating_mul(*count);
-            let found = victims(&self.workers[*key], &needed, priority);
+            let found = find_victims(&self.workers[*key], &needed, priority);
             for (task, run) in found.unwrap_or_default() {
                 stops.push((*key, task, run));
             }
--- a/crates/sched/src/job.rs
+++ b/crates/sched/src/job.rs
@@ -21,9 +21,9 @@
 use crate::TaskId;
 use crate::Version;
 use crate::WorkerKey;
-use crate::blame::Blame;
-use crate::placed::PlacedBefore;
-use crate::placed::placed_names;
+use crate::crash_history::CrashHistory;
+use crate::predecessor_placement::PredecessorPlacement;
+use crate::predecessor_placement::member_worker_names;
 use crate::progress::StepProgress;
 use crate::progress::UnitProgress;
 use crate::retention::EndStamp;
@@ -81,9 +81,9 @@
     /// Workers to avoid if possible, because it failed on them.
     pub(crate) avoided_workers: Vec<WorkerKey>,
     /// Worker crashes attributed to its members, by member index.
-    pub(crate) blames: BTreeMap<usize, Blame>,
+    pub(crate) blames: BTreeMap<usize, CrashHistory>,
     /// Workers of the latest start by a predecessor.
-    pub(crate) placed_before: PlacedBefore,
+    pub(crate) placed_before: PredecessorPlacement,
     /// Capacity reserved for it.
     pub(crate) reservation: Option<Reservation>,
     /// Start that is recorded in the store before it is ordered.
@@ -134,7 +134,7 @@
             moves: 0,
             avoided_workers: Vec::new(),
             blames: BTreeMap::new(),
-            placed_before: PlacedBefore::NOWHERE,
+            placed_before: PredecessorPlacement::NONE,
             reservation: None,
             start_intent: None,
         }
@@ -453,10 +453,10 @@
         unit.last_accounted = stored_unit.last_accounted;
         unit.last_failed = stored_unit.last_failed;
         unit.checkpoint = stored_unit.checkpoint.clone();
-        unit.placed_before = PlacedBefore::restored(stored_unit);
+        unit.placed_before = PredecessorPlacement::restored(stored_unit);
         for (member, count) in &stored_unit.crashes {
             let member = usize::try_from(*member).unwrap_or(usize::MAX);
-            unit.blames.insert(member, Blame::restored(*count));
+            unit.blames.insert(member, CrashHistory::restored(*count));
             step.suspected_at = Some(Millis(0));
         }
     }
@@ -482,7 +482,7 @@
             stored.last_accounted = unit.last_accounted;
             stored.last_failed = unit.last_failed;
             stored.checkpoint = unit.checkpoint.clone();
-            stored.workers = placed_names(unit, name_of);
+            stored.workers = member_worker_names(unit, name_of);
             stored.crashes = crash_counts(unit);
         }
         let index = u32::try_from(index).unwrap_or(u32::MAX);
@@ -497,9 +497,9 @@
 
 fn crash_counts(unit: &Unit) -> BTreeMap<u32, CrashCount> {
     let mut crashes = BTreeMap::new();
-    for (member, blame) in &unit.blames {
+    for (member, history) in &unit.blames {
         let member = u32::try_from(*member).unwrap_or(u32::MAX);
-        crashes.insert(member, blame.count);
+        crashes.insert(member, history.count);
     }
     crashes
 }
--- a/crates/sched/src/note.rs
+++ b/crates/sched/src/note.rs
@@ -3,11 +3,11 @@
 use smol_str::SmolStr;
 use syc_types::WorkerId;
 
-use crate::Hindered;
 use crate::JobId;
 use crate::Run;
 use crate::StepId;
 use crate::TaskId;
+use crate::UnusableWorkers;
 use crate::VmNote;
 
 /// The most recently started run of a worker that was lost.
@@ -96,7 +96,7 @@
         /// Number of workers with tickets, including expired ones.
         known: usize,
         /// Workers of its service that receive no new work, by reason.
-        hindered: Hindered,
+        hindered: UnusableWorkers,
         /// Number of waiting tasks.
         tasks: u32,
     },
--- a/crates/sched/src/recovery.rs
+++ b/crates/sched/src/recovery.rs
@@ -90,11 +90,11 @@
     pub fn begin_recovery(&mut self, now: Millis) {
         let mut unreported_workers = BTreeSet::new();
         for worker in self.workers.values() {
-            if !worker.answered {
+            if !worker.runs_known {
                 unreported_workers.insert(worker.spec.id.clone());
             }
         }
-        for key in &self.open {
+        for key in &self.open_jobs {
             for step in &self.jobs[*key].steps {
                 for unit in &step.units {
                     // Members of an accounted start whose worker is gone need not be waited for.
@@ -105,7 +105,7 @@
                 }
             }
         }
-        self.vms.orders_from = now.plus(self.options.vm_order_pause_ms);
+        self.vms.orders_allowed_from = now.plus(self.options.vm_order_pause_ms);
         let bound_ms = self.options.authority_ms + self.options.lease_bound_ms;
         for worker in self.workers.values_mut() {
             worker.lapse_at = worker.lapse_at.max(now.plus(bound_ms));
@@ -115,7 +115,7 @@
             unreported_workers,
             leases_expired_at: now.plus(bound_ms),
             elected_at,
-            new_job_starts_end_at: now.plus(self.options.job_authority_ms + CLOCK_SLACK_MS),
+            new_job_starts_end_at: now.plus(self.options.proof_validity_ms + CLOCK_SLACK_MS),
             authority_ends_at: elected_at.unwrap_or(now).plus(self.options.authority_ms),
             begun: true,
             is_complete: false,
@@ -158,7 +158,7 @@
     pub(crate) fn inherit_if_known_to_predecessor(&mut self, job: JobKey) {
         if self
             .recovery
-            .predecessor_may_know(self.jobs_read_at, self.predecessors_prove)
+            .predecessor_may_know(self.jobs_read_at, self.predecessors_require_proof)
         {
             self.jobs[job].inherited = true;
         }
@@ -174,7 +174,7 @@
         if !self.recovery.is_partial {
             return;
         }
-        let keys: Vec<_> = self.open.iter().copied().collect();
+        let keys: Vec<_> = self.open_jobs.iter().copied().collect();
         for key in keys {
             self.expire_unknown_runs_of_job(key, now);
         }
@@ -212,7 +212,7 @@
     /// Stops the gangs of which not every member was found.
     pub(crate) fn stop_incomplete_gangs(&mut self, now: Millis) {
         let mut incomplete = Vec::new();
-        for key in &self.open {
+        for key in &self.open_jobs {
             for (step_index, step) in self.jobs[*key].steps.iter().enumerate() {
                 for (unit_index, unit) in step.units.iter().enumerate() {
                     let UnitState::Placed { run, members } = &unit.state else {
--- a/crates/sched/src/reports.rs
+++ b/crates/sched/src/reports.rs
@@ -19,12 +19,12 @@
 use crate::WorkerNote;
 use crate::WorkerReport;
 use crate::WorkerSpec;
-use crate::blame::Probation;
+use crate::crash_history::Probation;
 use crate::job::UnitState;
 use crate::orphans::RunReport;
 use crate::units::RunTermination;
+use crate::worker::CpuShare;
 use crate::worker::Phase;
-use crate::worker::Share;
 use crate::worker::UnacknowledgedEnd;
 use crate::worker::Worker;
 use crate::worker::WorkerRun;
@@ -37,12 +37,12 @@
         if let Some(key) = self.worker_keys.get(&spec.id).copied() {
             let worker = &mut self.workers[key];
             let begins_draining = spec.draining && !worker.spec.draining;
-            worker.listed = true;
+            worker.registered = true;
             worker.spec = spec;
-            worker.told_at = now;
-            worker.room_doubt = None;
+            worker.capacity_reported_at = now;
+            worker.stale_capacity = None;
             if begins_draining {
-                self.move_off_draining(key, now);
+                self.evacuate_draining_worker(key, now);
             }
             return;
         }
@@ -50,21 +50,21 @@
         let key = self.workers.insert(Worker::new(spec.clone(), now));
         self.worker_keys.insert(id, key);
         self.actions.push(Action::Attach { worker: key, spec });
-        self.meet_misdirected(now);
+        self.resolve_misdirected(now);
     }
 
     pub(crate) fn worker_unlisted(&mut self, id: &WorkerId, now: Millis) {
         let Some(key) = self.worker_keys.get(id).copied() else {
             return;
         };
-        self.workers[key].listed = false;
+        self.workers[key].registered = false;
         self.detach_if_idle(key, now);
     }
 
     /// Detaches a worker that is no longer registered and holds no runs.
     pub(crate) fn detach_if_idle(&mut self, key: WorkerKey, now: Millis) {
         let worker = &self.workers[key];
-        if worker.listed {
+        if worker.registered {
             return;
         }
         // A draining worker that is no longer registered and does not answer has left.
@@ -104,14 +104,14 @@
             let note = status_note(worker, "silent", now);
             self.actions.push(note);
         }
-        self.watch_lease(key, now);
+        self.expire_lease(key, now);
     }
 
     pub(crate) fn replaced(&mut self, key: WorkerKey, now: Millis) {
         if !self.workers.contains_key(key) {
             return;
         }
-        self.blame_for_crash(key, now);
+        self.record_worker_crash(key, now);
         self.lose_runs(key, "replaced", now);
         self.detach(key);
     }
@@ -131,11 +131,11 @@
     /// Treats everything that ran on a worker as ended because its leases have certainly expired.
     pub(crate) fn expire_runs(&mut self, key: WorkerKey, now: Millis) {
         let worker = &self.workers[key];
-        if worker.silent && !worker.listed && worker.answered {
-            self.blame_for_crash(key, now);
+        if worker.silent && !worker.registered && worker.runs_known {
+            self.record_worker_crash(key, now);
         }
         for (task, run) in self.workers[key].runs.keys() {
-            let Some((job, step, unit, _member)) = self.locate(*task) else {
+            let Some((job, step, unit, _member)) = self.locate_task(*task) else {
                 continue;
             };
             let unit = &mut self.jobs[job].steps[step].units[unit];
@@ -156,19 +156,19 @@
         };
         if worker.silent {
             worker.silent = false;
-            worker.contact.probe_soon(now);
+            worker.contact.probe_immediately(now);
             let note = status_note(worker, "answers", now);
             self.actions.push(note);
-            self.doubt_room(key, now);
+            self.mark_capacity_stale(key, now);
         }
         let worker = &mut self.workers[key];
-        worker.note_call_answered();
-        if !worker.answered && worker.runs.is_empty() {
+        worker.confirm_acknowledgement();
+        if !worker.runs_known && worker.runs.is_empty() {
             // From its first answer on, the worker refuses a predecessor's orders.
             let bound = now.plus(self.options.lease_bound_ms);
             worker.lapse_at = worker.lapse_at.min(bound);
         }
-        worker.answered = true;
+        worker.runs_known = true;
         worker.last_answer_at = now;
         let id = worker.spec.id.clone();
         for ended in &report.ended {
@@ -183,8 +183,8 @@
             self.end_missing_runs(key, sent_at, report, now);
             self.recovery.worker_reported(&id);
         }
-        self.pace_fills(key, now);
-        self.judge_slowness(key, now);
+        self.adjust_backfill_pace(key, now);
+        self.check_slowness(key, now);
     }
 
     /// Records that a worker has reported a run of a job.
@@ -198,7 +198,7 @@
             return;
         }
         self.jobs[key].mark_started();
-        self.begun_lately.insert(key);
+        self.started_since_recorded.insert(key);
     }
 
     fn handle_reported_end(&mut self, key: WorkerKey, ended: &EndReport, now: Millis) {
@@ -240,22 +240,23 @@
         }
         let is_news = held_run.confirmed_at.is_none();
         held_run.confirmed_at.get_or_insert(now);
-        held_run.note_percent(listed.percent, now);
+        held_run.record_progress(listed.percent, now);
         if held_run.checkpoint != listed.checkpoint {
             held_run.checkpoint = listed.checkpoint.clone();
         }
         self.update_load(key, listed);
-        self.watch_probation(key, (listed.task, listed.run), now);
+        self.update_probation(key, (listed.task, listed.run), now);
         if was_in_doubt {
-            self.order_taken(key, ordered_at, now);
+            self.order_accepted(key, ordered_at, now);
         }
         if is_news {
             self.mark_job_started(listed.task.step.job);
         }
         let held_run = &self.workers[key].runs[&(listed.task, listed.run)];
-        let stopped_long = now.since(held_run.ordered_at) > self.options.stop_ms * 2;
-        if held_run.phase == Phase::Stopping && held_run.stop_taken_at.is_some() && stopped_long {
-            self.order_stop(key, listed.task, listed.run, StopReason::Unwanted, now);
+        let stopped_long = now.since(held_run.ordered_at) > self.options.max_stop_ms * 2;
+        if held_run.phase == Phase::Stopping && held_run.stop_accepted_at.is_some() && stopped_long
+        {
+            self.send_stop(key, listed.task, listed.run, StopReason::Unwanted, now);
         } else if held_run.phase == Phase::Running && !self.is_wanted(listed.task, listed.run, now)
         {
             self.stop_run(key, listed.task, listed.run, StopReason::Unwanted, now);
@@ -266,7 +267,7 @@
         if self.ends_by_itself(task, now) || self.is_orphan(task, run) {
             return true;
         }
-        let Some((job, step, unit, _member)) = self.locate(task) else {
+        let Some((job, step, unit, _member)) = self.locate_task(task) else {
             return false;
         };
         let job = &self.jobs[job];
@@ -312,9 +313,9 @@
                 continue;
             }
             let known_before = |at: Option<Millis>| at.is_some_and(|at| at < sent_at);
-            if held_run.listed
+            if held_run.reported
                 || known_before(held_run.confirmed_at)
-                || known_before(held_run.stop_taken_at)
+                || known_before(held_run.stop_accepted_at)
             {
                 absent.push(*name);
             }
@@ -333,7 +334,7 @@
             copies: 0,
             in_flight: false,
             confirmed_at: Some(now),
-            listed: true,
+            reported: true,
             resumed: true,
             percent: listed.percent,
             checkpoint: listed.checkpoint.clone(),
@@ -369,12 +370,12 @@
         };
         let priority = spec.map_or(0, |spec| spec.policy.priority);
         let mut run = WorkerRun::starting(step.unwrap_or(&whole), priority, now);
-        if let Share::Fills(fill) = &mut run.share {
+        if let CpuShare::Fills(fill) = &mut run.share {
             fill.forget_pace();
         }
-        if let Some((job, step, unit, _member)) = self.locate(task) {
+        if let Some((job, step, unit, _member)) = self.locate_task(task) {
             let unit = &self.jobs[job].steps[step].units[unit];
-            run.probation = Probation::of(unit.worst_blame());
+            run.probation = Probation::of(unit.worst_crash_history());
         }
         run
     }
@@ -383,14 +384,14 @@
     fn update_load(&mut self, key: WorkerKey, listed: &RunningReport) {
         let run = self.workers[key].runs.get_mut(&(listed.task, listed.run));
         match run.map(|run| &mut run.share) {
-            Some(Share::Serves { tail_ms, .. }) => *tail_ms = listed.load,
-            Some(Share::Reserved { used_cpu_millis }) => *used_cpu_millis = listed.load,
-            Some(Share::Fills(_)) | None => {}
+            Some(CpuShare::LatencyBound { tail_ms, .. }) => *tail_ms = listed.load,
+            Some(CpuShare::Reserved { used_cpu_millis }) => *used_cpu_millis = listed.load,
+            Some(CpuShare::Fills(_)) | None => {}
         }
     }
 
     fn adopt(&mut self, key: WorkerKey, task: TaskId, run: Run) -> bool {
-        let Some((job_key, step, unit, member)) = self.locate(task) else {
+        let Some((job_key, step, unit, member)) = self.locate_task(task) else {
             return false;
         };
         let recovery_complete = self.recovery.is_complete();
--- a/crates/sched/src/retention.rs
+++ b/crates/sched/src/retention.rs
@@ -89,7 +89,7 @@
             schedule: Schedule::default(),
             accepted_at_ms: TimeOfDay::default(),
         };
-        let mut job = Job::new(spec, now, self.day);
+        let mut job = Job::new(spec, now, self.wall_clock);
         job.state = ended.state;
         job.visible_state = ended.state;
         job.ended_at = Some(self.cell_clock.steady_at(shown_at, now));
@@ -100,7 +100,7 @@
 
     /// Removes jobs whose retention time is over.
     pub(crate) fn forget_expired_jobs(&mut self, now: Millis) {
-        let keep_ms = self.options.status_ms;
+        let keep_ms = self.options.ended_job_retention_ms;
         let cell_now = self.cell_clock.read(now);
         let mut old = Vec::new();
         for (key, job) in &self.jobs {
@@ -118,7 +118,7 @@
             self.job_keys.remove(&job.id());
             self.actions.push(Action::Forget(job.id()));
         }
-        self.cancelled_early
+        self.early_cancellations
             .retain(|_, at| now.since(*at) <= keep_ms);
     }
 }
--- a/crates/sched/src/units.rs
+++ b/crates/sched/src/units.rs
@@ -76,8 +76,8 @@
         let worker = &mut self.workers[key];
         let held = worker.remove(task, run);
         match termination.end {
-            Some(RunEnd::Done) => worker.failures_in_row = 0,
-            Some(RunEnd::Failed) => worker.failures_in_row += 1,
+            Some(RunEnd::Done) => worker.consecutive_failures = 0,
+            Some(RunEnd::Failed) => worker.consecutive_failures += 1,
             _ => {}
         }
         let worker_id = worker.spec.id.clone();
@@ -112,7 +112,7 @@
         checkpoint: SmolStr,
         now: Millis,
     ) -> u32 {
-        let Some((job_key, step_index, unit_index, member)) = self.locate(task) else {
+        let Some((job_key, step_index, unit_index, member)) = self.locate_task(task) else {
             return 0;
         };
         let job = &mut self.jobs[job_key];
@@ -126,7 +126,7 @@
         };
         let step = &mut job.steps[step_index];
         let unit = &mut step.units[unit_index];
-        unit.placed_before.ended(member, run);
+        unit.placed_before.mark_ended(member, run);
         let is_stopping =
             matches!(unit.state, UnitState::Stopping { run: stopping, .. } if stopping == run);
         if job.state.is_terminal() {
@@ -225,7 +225,7 @@
         unit.last_failed = run;
         unit.failures += 1;
         let failures = unit.failures;
-        self.changed(unit_ref.job);
+        self.mark_changed(unit_ref.job);
         self.fail_if_exhausted(unit_ref, now);
         failures
     }
@@ -247,7 +247,7 @@
             outcome,
         };
         self.count_outcome(unit_ref, run, outcome);
-        self.changed(unit_ref.job);
+        self.mark_changed(unit_ref.job);
         if !self.fail_if_exhausted(unit_ref, now) {
             self.stop_members(unit_ref, run, StopReason::GangBroken, now);
         }
@@ -269,13 +269,13 @@
         if outcome == Outcome::Failed && *so_far == Outcome::Interrupted {
             *so_far = Outcome::Failed;
             self.count_outcome(unit_ref, run, outcome);
-            self.changed(unit_ref.job);
+            self.mark_changed(unit_ref.job);
             if self.fail_if_exhausted(unit_ref, now) {
                 return;
             }
         }
         if all_ended {
-            let change = self.changed(unit_ref.job);
+            let change = self.mark_changed(unit_ref.job);
             let outcome = Outcome::Interrupted;
             self.unit_mut(unit_ref).state = UnitState::Recording { outcome, change };
         }
@@ -289,7 +289,7 @@
         let unit = self.unit_mut(unit_ref);
         unit.last_accounted = unit.last_accounted.max(run);
         unit.last_started = unit.last_started.max(run);
-        unit.placed_before.forget_before(run);
+        unit.placed_before.clear_if_older(run);
         if outcome == Outcome::Failed && run > unit.last_failed {
             unit.last_failed = run;
             unit.failures += 1;
@@ -300,7 +300,7 @@
     pub(crate) fn fail_if_exhausted(&mut self, unit_ref: UnitRef, now: Millis) -> bool {
         let limit = self.jobs[unit_ref.job].spec.policy.attempts_limit.max(1);
         let unit = self.unit_mut(unit_ref);
-        let is_guilty = unit.is_proved_guilty();
+        let is_guilty = unit.exceeds_crash_limit();
         let crashes = unit.crashes();
         let spent = unit.failures >= limit || is_guilty;
         if is_guilty {
@@ -324,7 +324,7 @@
         now: Millis,
     ) {
         self.count_outcome(unit_ref, run, outcome);
-        let change = self.changed(unit_ref.job);
+        let change = self.mark_changed(unit_ref.job);
         self.unit_mut(unit_ref).state = UnitState::Recording { outcome, change };
         if outcome == Outcome::Done {
             let steps = &self.jobs[unit_ref.job].steps;
--- a/crates/sched/src/waiting.rs
+++ b/crates/sched/src/waiting.rs
@@ -4,10 +4,10 @@
 use syc_types::ServiceName;
 
 use crate::Action;
-use crate::Hindered;
 use crate::Note;
 use crate::Scheduler;
 use crate::StepId;
+use crate::UnusableWorkers;
 use crate::ids::JobKey;
 
 /// How long a step waits before the log reports why. The interval doubles with each report.
@@ -37,9 +37,9 @@
     pub(crate) fn waiting_steps(&mut self, now: Millis) -> Vec<(Urgency, JobKey, usize)> {
         let mut waiting = Vec::new();
         let recovery_complete = self.recovery.is_complete();
-        for key in &self.open {
+        for key in &self.open_jobs {
             let job = &self.jobs[*key];
-            if job.inherited && !recovery_complete || !self.is_proved(job.arrival_number, now) {
+            if job.inherited && !recovery_complete || !self.may_start_job(job.arrival_number, now) {
                 continue;
             }
             for step in 0..job.steps.len() {
@@ -75,8 +75,10 @@
         let job = &self.jobs[job_key];
         let step = &job.steps[step_index];
         let required_label = step.spec.required_label.as_ref();
-        let eligible = self.eligible(required_label, job, now).len();
-        let allowed = self.allowed_now(job_key, step_index, now).len();
+        let eligible = self.eligible_workers(required_label, job, now).len();
+        let allowed = self
+            .currently_allowed_workers(job_key, step_index, now)
+            .len();
         let lacking = if eligible == 0 {
             "workers"
         } else if step.advice.asked_at.is_some() {
@@ -100,14 +102,14 @@
     }
 
     /// Counts the workers of a service that receive no new work, by reason.
-    fn hindered(&self, service: &ServiceName, now: Millis) -> Hindered {
-        let mut hindered = Hindered::default();
+    fn hindered(&self, service: &ServiceName, now: Millis) -> UnusableWorkers {
+        let mut hindered = UnusableWorkers::default();
         for worker in self.workers.values() {
             if worker.spec.service != *service {
                 continue;
             }
-            if let Some(hindrance) = worker.hindrance(now) {
-                hindered.add(hindrance);
+            if let Some(reason) = worker.unusable_reason(now) {
+                hindered.add(reason);
             }
         }
         hindered
--- a/crates/sched/tests/core/retention.rs
+++ b/crates/sched/tests/core/retention.rs
@@ -95,7 +95,7 @@
                 continue;
             };
             let kept_ms = self.at_ms - self.visible_at_ms[&id];
-            let status_ms = Options::default().status_ms;
+            let status_ms = Options::default().ended_job_retention_ms;
             assert!(
                 kept_ms >= status_ms,
                 "{id} was retained for only {kept_ms} ms"
@@ -139,7 +139,7 @@
 /// between.
 #[test]
 fn clock_steps_never_shorten_retention() {
-    let status_ms = Options::default().status_ms;
+    let status_ms = Options::default().ended_job_retention_ms;
     for first in CLOCK_OFFSETS_MS {
         for second in CLOCK_OFFSETS_MS {
             for third in CLOCK_OFFSETS_MS {
@@ -172,7 +172,7 @@
 #[test_case(true; "the scheduler receives the answer")]
 #[test_case(false; "a successor finds it")]
 fn retention_of_late_write_starts_when_the_end_is_visible(heard: bool) {
-    let status_ms = Options::default().status_ms;
+    let status_ms = Options::default().ended_job_retention_ms;
     let mut simulation = Simulation::new();
     simulation.take_over(0);
     let end = simulation.end_job();
@@ -193,7 +193,7 @@
 /// Records written by an earlier version hold no cell time.
 #[test]
 fn end_without_cell_time_is_retained_from_takeover() {
-    let status_ms = Options::default().status_ms;
+    let status_ms = Options::default().ended_job_retention_ms;
     let mut simulation = Simulation::new();
     let progress = JobProgress {
         state: JobState::Cancelled,
@@ -213,7 +213,7 @@
 fn retained_jobs_stay_bounded_with_takeovers_every_minute() {
     const TENURES: u64 = 2 * 24 * 60;
     const ENDS_A_TENURE: u64 = 12;
-    let status_ms = Options::default().status_ms;
+    let status_ms = Options::default().ended_job_retention_ms;
     let mut simulation = Simulation::new();
     let mut most = 0;
     for tenure in 0..TENURES {
--- a/crates/sched/tests/takeovers/simulation.rs
+++ b/crates/sched/tests/takeovers/simulation.rs
@@ -219,10 +219,10 @@
             .scheduler
             .begin_recovery(simulation.now);
         if start_rule == StartRule::OnceConfirmed {
-            simulation.predecessor.scheduler.require_proof();
-            simulation.successor.scheduler.require_proof();
+            simulation.predecessor.scheduler.require_leadership_proof();
+            simulation.successor.scheduler.require_leadership_proof();
             let successor = &mut simulation.successor.scheduler;
-            successor.set_predecessors_prove(true);
+            successor.set_predecessors_require_proof(true);
         }
         simulation
     }
@@ -264,7 +264,7 @@
                 self.take_over(read_after == TAKEOVER_SLOT);
             }
             if slot >= TAKEOVER_SLOT {
-                self.successor.authority.note_taken(self.now);
+                self.successor.authority.note_append(self.now);
                 // At most everything stored before the job has been read by then.
                 let read_at = Millis(slot.min(read_before) * SLOT_MS);
                 self.successor.scheduler.set_jobs_read(read_at);
@@ -278,7 +278,7 @@
                 self.record(2);
                 if self.start_rule == StartRule::OnceConfirmed {
                     let scheduler = &mut self.successor.scheduler;
-                    scheduler.set_proof(scheduler.jobs_added(), self.now);
+                    scheduler.record_leadership_proof(scheduler.jobs_added(), self.now);
                 }
             }
             seen.insert(self.digest());
@@ -317,7 +317,7 @@
         let is_taken = slot <= TAKEOVER_SLOT;
         if is_taken {
             // The last request that is accepted: from then on a successor makes the store refuse them.
-            self.predecessor.authority.note_taken(self.now);
+            self.predecessor.authority.note_append(self.now);
         }
         if self.start_rule == StartRule::OnceRead {
             return;
@@ -325,7 +325,7 @@
         if is_taken {
             let scheduler = &mut self.predecessor.scheduler;
             let sent_at = Millis(self.now.0 - SLOT_MS);
-            scheduler.set_proof(self.jobs_sent, sent_at);
+            scheduler.record_leadership_proof(self.jobs_sent, sent_at);
         }
         self.jobs_sent = self.predecessor.scheduler.jobs_added();
     }
@@ -547,7 +547,7 @@
         let from = match self.lease_start {
             LeaseStart::FromSend => Some(now),
             LeaseStart::NoPause | LeaseStart::FromDecision => {
-                self.node(token).authority.lease_from(decided_at, now)
+                self.node(token).authority.lease_start(decided_at, now)
             }
         };
         from.map(|from| from.0 + LEASE_MS)
