--- a/crates/cell/src/leader.rs
+++ b/crates/cell/src/leader.rs
@@ -298,7 +298,7 @@
                     expected_ms,
                 } => self.request_advice(step, workers, expected_ms),
                 Action::ListVms { asked_at } => self.list_vms(asked_at),
-                Action::OrderVm { vm, duty } => self.order_vm(vm, duty),
+                Action::OrderVm { vm, operation } => self.order_vm(vm, operation),
                 Action::ReportWave { wave, completed } => self.queue_wave_status(wave, completed),
                 Action::DropSpec(id) => self.specs_to_remove.borrow_mut().push(id),
                 Action::Forget(id) => self.progress_to_remove.borrow_mut().push(id),
--- a/crates/cell/src/leader/vms.rs
+++ b/crates/cell/src/leader/vms.rs
@@ -126,7 +126,7 @@
         log::vm_ordered(&command, answer, ordered.err().as_ref());
         self.apply(Event::VmOrderAnswered {
             vm: command.vm,
-            duty: command.duty,
+            operation: command.duty,
             answer,
         });
     }
--- a/crates/cell/src/log.rs
+++ b/crates/cell/src/log.rs
@@ -389,7 +389,7 @@
             allowed,
             denied,
             known,
-            hindered,
+            unusable,
             tasks,
         } => Line::new(catalogue::STEP_WAITS)
             .display("job", step.job)
@@ -400,7 +400,7 @@
             .number("allowed", *allowed)
             .number("denied", *denied)
             .number("known", *known)
-            .display("hindered", hindered)
+            .display("hindered", unusable)
             .number("tasks", *tasks)
             .emit(),
         Note::Worker { worker, note } => workers::note(worker, note),
--- a/crates/sched/src/action.rs
+++ b/crates/sched/src/action.rs
@@ -94,7 +94,7 @@
         /// The VM.
         vm: VmId,
         /// The order.
-        duty: VmOperation,
+        operation: VmOperation,
     },
     /// Report the progress of a maintenance wave to the operators.
     ReportWave {
--- a/crates/sched/src/crash_history.rs
+++ b/crates/sched/src/crash_history.rs
@@ -113,7 +113,7 @@
     /// Returns what that of its members is suspected of that most workers crashed under.
     pub(crate) fn worst_crash_history(&self) -> CrashHistory {
         let worst = self
-            .blames
+            .crash_histories
             .values()
             .max_by_key(|history| history.count.workers);
         worst.copied().unwrap_or_default()
@@ -131,7 +131,9 @@
 
     /// Says whether it surely takes its workers down.
     pub(crate) fn exceeds_crash_limit(&self) -> bool {
-        self.blames.values().any(|history| history.exceeds_limit())
+        self.crash_histories
+            .values()
+            .any(|history| history.exceeds_limit())
     }
 }
 
--- a/crates/sched/src/event.rs
+++ b/crates/sched/src/event.rs
@@ -166,7 +166,7 @@
         /// The VM.
         vm: VmId,
         /// The order.
-        duty: VmOperation,
+        operation: VmOperation,
         /// The result.
         answer: VmOrderAnswer,
     },
--- a/crates/sched/src/job.rs
+++ b/crates/sched/src/job.rs
@@ -81,9 +81,9 @@
     /// Workers to avoid if possible, because it failed on them.
     pub(crate) avoided_workers: Vec<WorkerKey>,
     /// Worker crashes attributed to its members, by member index.
-    pub(crate) blames: BTreeMap<usize, CrashHistory>,
+    pub(crate) crash_histories: BTreeMap<usize, CrashHistory>,
     /// Workers of the latest start by a predecessor.
-    pub(crate) placed_before: PredecessorPlacement,
+    pub(crate) predecessor_placement: PredecessorPlacement,
     /// Capacity reserved for it.
     pub(crate) reservation: Option<Reservation>,
     /// Start that is recorded in the store before it is ordered.
@@ -133,8 +133,8 @@
             expected_run_ms: None,
             moves: 0,
             avoided_workers: Vec::new(),
-            blames: BTreeMap::new(),
-            placed_before: PredecessorPlacement::NONE,
+            crash_histories: BTreeMap::new(),
+            predecessor_placement: PredecessorPlacement::NONE,
             reservation: None,
             start_intent: None,
         }
@@ -453,10 +453,11 @@
         unit.last_accounted = stored_unit.last_accounted;
         unit.last_failed = stored_unit.last_failed;
         unit.checkpoint = stored_unit.checkpoint.clone();
-        unit.placed_before = PredecessorPlacement::restored(stored_unit);
+        unit.predecessor_placement = PredecessorPlacement::restored(stored_unit);
         for (member, count) in &stored_unit.crashes {
             let member = usize::try_from(*member).unwrap_or(usize::MAX);
-            unit.blames.insert(member, CrashHistory::restored(*count));
+            unit.crash_histories
+                .insert(member, CrashHistory::restored(*count));
             step.suspected_at = Some(Millis(0));
         }
     }
@@ -497,7 +498,7 @@
 
 fn crash_counts(unit: &Unit) -> BTreeMap<u32, CrashCount> {
     let mut crashes = BTreeMap::new();
-    for (member, history) in &unit.blames {
+    for (member, history) in &unit.crash_histories {
         let member = u32::try_from(*member).unwrap_or(u32::MAX);
         crashes.insert(member, history.count);
     }
--- a/crates/sched/src/maintenance.rs
+++ b/crates/sched/src/maintenance.rs
@@ -308,7 +308,7 @@
     fn order_maintenance(&mut self, wave: u64, vm: &VmId, now: Millis) -> VmPhase {
         self.actions.push(Action::OrderVm {
             vm: vm.clone(),
-            duty: VmOperation::Maintenance { wave },
+            operation: VmOperation::Maintenance { wave },
         });
         VmPhase::Ordered {
             at: now,
--- a/crates/sched/src/note.rs
+++ b/crates/sched/src/note.rs
@@ -96,7 +96,7 @@
         /// Number of workers with tickets, including expired ones.
         known: usize,
         /// Workers of its service that receive no new work, by reason.
-        hindered: UnusableWorkers,
+        unusable: UnusableWorkers,
         /// Number of waiting tasks.
         tasks: u32,
     },
--- a/crates/sched/src/pools.rs
+++ b/crates/sched/src/pools.rs
@@ -236,7 +236,7 @@
         self.pools.pending_moves.insert(vm.clone(), pending);
         self.actions.push(Action::OrderVm {
             vm,
-            duty: VmOperation::Move { pool },
+            operation: VmOperation::Move { pool },
         });
     }
 
--- a/crates/sched/src/predecessor_placement.rs
+++ b/crates/sched/src/predecessor_placement.rs
@@ -59,7 +59,7 @@
 where
     N: Fn(WorkerKey) -> Option<WorkerId>,
 {
-    let before = &unit.placed_before;
+    let before = &unit.predecessor_placement;
     let mut names: Vec<_> = match (&unit.state, &unit.reservation) {
         (UnitState::Placed { members, run } | UnitState::Stopping { members, run, .. }, _) => {
             // Of a predecessor's start, members that were not found may have taken their workers down.
--- a/crates/sched/src/recovery.rs
+++ b/crates/sched/src/recovery.rs
@@ -99,7 +99,7 @@
                 for unit in &step.units {
                     // Members of an accounted start whose worker is gone need not be waited for.
                     if unit.last_started > unit.last_accounted {
-                        let workers = unit.placed_before.workers.iter();
+                        let workers = unit.predecessor_placement.workers.iter();
                         unreported_workers.extend(workers.flatten().cloned());
                     }
                 }
--- a/crates/sched/src/scheduler.rs
+++ b/crates/sched/src/scheduler.rs
@@ -200,7 +200,11 @@
             Event::WaveRecorded { wave, change } => self.wave_recorded(wave, change),
             Event::StandbySet(services) => self.set_standby_pools(services),
             Event::VmsListed { asked_at, vms } => self.vms_listed(asked_at, vms),
-            Event::VmOrderAnswered { vm, duty, answer } => match duty {
+            Event::VmOrderAnswered {
+                vm,
+                operation,
+                answer,
+            } => match operation {
                 VmOperation::Maintenance { wave } => {
                     self.maintenance_answered(wave, &vm, answer, now);
                 }
--- a/crates/sched/src/suspects.rs
+++ b/crates/sched/src/suspects.rs
@@ -136,7 +136,7 @@
             for (index, step) in self.jobs[*key].steps.iter().enumerate() {
                 let id = self.step_id(*key, index);
                 for (unit_index, unit) in step.units.iter().enumerate() {
-                    let before = &unit.placed_before;
+                    let before = &unit.predecessor_placement;
                     let members = before.workers.iter().enumerate();
                     let here = members.filter(|(_, at)| at.as_ref() == Some(worker));
                     let tasks = here.map(|(member, _)| step.task_at(id, unit_index, member));
@@ -162,8 +162,11 @@
             return;
         };
         let of_job = &self.jobs[job];
-        let known = of_job.steps.get(step).map(|step| &step.units[unit].blames);
-        let known = known.and_then(|blames| blames.get(&member));
+        let known = of_job
+            .steps
+            .get(step)
+            .map(|step| &step.units[unit].crash_histories);
+        let known = known.and_then(|crash_histories| crash_histories.get(&member));
         if of_job.state.is_terminal() || known.is_some_and(|history| history.count.run >= run) {
             return;
         }
@@ -173,7 +176,10 @@
         }
         let of_step = &mut self.jobs[job].steps[step];
         of_step.suspected_at = Some(now);
-        let history = of_step.units[unit].blames.entry(member).or_default();
+        let history = of_step.units[unit]
+            .crash_histories
+            .entry(member)
+            .or_default();
         history.count.run = run;
         history.add(&crash);
         let note = Note::TaskBlamed {
@@ -224,8 +230,8 @@
             return;
         };
         let unit = &mut self.jobs[job].steps[step].units[unit];
-        if !unit.blames.is_empty() {
-            unit.blames.clear();
+        if !unit.crash_histories.is_empty() {
+            unit.crash_histories.clear();
             self.mark_changed(job);
         }
     }
--- a/crates/sched/src/units.rs
+++ b/crates/sched/src/units.rs
@@ -126,7 +126,7 @@
         };
         let step = &mut job.steps[step_index];
         let unit = &mut step.units[unit_index];
-        unit.placed_before.mark_ended(member, run);
+        unit.predecessor_placement.mark_ended(member, run);
         let is_stopping =
             matches!(unit.state, UnitState::Stopping { run: stopping, .. } if stopping == run);
         if job.state.is_terminal() {
@@ -289,7 +289,7 @@
         let unit = self.unit_mut(unit_ref);
         unit.last_accounted = unit.last_accounted.max(run);
         unit.last_started = unit.last_started.max(run);
-        unit.placed_before.clear_if_older(run);
+        unit.predecessor_placement.clear_if_older(run);
         if outcome == Outcome::Failed && run > unit.last_failed {
             unit.last_failed = run;
             unit.failures += 1;
--- a/crates/sched/src/waiting.rs
+++ b/crates/sched/src/waiting.rs
@@ -96,23 +96,23 @@
             allowed,
             denied: step.advice.denied.len(),
             known: step.advice.tickets.len(),
-            hindered: self.hindered(&job.spec.policy.service, now),
+            unusable: self.unusable_workers(&job.spec.policy.service, now),
             tasks: step.pending_units * step.members(),
         }
     }
 
     /// Counts the workers of a service that receive no new work, by reason.
-    fn hindered(&self, service: &ServiceName, now: Millis) -> UnusableWorkers {
-        let mut hindered = UnusableWorkers::default();
+    fn unusable_workers(&self, service: &ServiceName, now: Millis) -> UnusableWorkers {
+        let mut unusable = UnusableWorkers::default();
         for worker in self.workers.values() {
             if worker.spec.service != *service {
                 continue;
             }
             if let Some(reason) = worker.unusable_reason(now) {
-                hindered.add(reason);
+                unusable.add(reason);
             }
         }
-        hindered
+        unusable
     }
 }
 
--- a/crates/sched/tests/core/driver.rs
+++ b/crates/sched/tests/core/driver.rs
@@ -157,7 +157,7 @@
                     run,
                     reason,
                 }),
-                Action::OrderVm { vm, duty } => self.vm_orders.push((vm, duty)),
+                Action::OrderVm { vm, operation } => self.vm_orders.push((vm, operation)),
                 Action::ReportWave { wave, completed } => self.wave_reports.push((wave, completed)),
                 Action::ListVms { asked_at } => self.lists_asked.push(asked_at),
                 Action::RequestAdvice { step, workers, .. } => {
--- a/crates/sched/tests/core/maintenance.rs
+++ b/crates/sched/tests/core/maintenance.rs
@@ -71,7 +71,7 @@
 fn answer(driver: &mut Driver, vm: VmId, answer: VmOrderAnswer) {
     driver.apply(Event::VmOrderAnswered {
         vm,
-        duty: VmOperation::Maintenance { wave: WAVE },
+        operation: VmOperation::Maintenance { wave: WAVE },
         answer,
     });
 }
--- a/crates/sched/tests/core/pools.rs
+++ b/crates/sched/tests/core/pools.rs
@@ -73,7 +73,7 @@
 fn answer_move(driver: &mut Driver, vm: VmId, to: &str, answer: VmOrderAnswer) {
     driver.apply(Event::VmOrderAnswered {
         vm,
-        duty: VmOperation::Move { pool: pool(to) },
+        operation: VmOperation::Move { pool: pool(to) },
         answer,
     });
 }
--- a/crates/sched/tests/core/stale_capacity.rs
+++ b/crates/sched/tests/core/stale_capacity.rs
@@ -168,7 +168,7 @@
     driver.advance(1_000);
     let actions = driver.scheduler.schedule(driver.now);
     let told = actions.into_iter().find_map(|action| match action {
-        Action::Note(Note::Waiting { hindered, .. }) => Some(hindered),
+        Action::Note(Note::Waiting { unusable, .. }) => Some(unusable),
         _ => None,
     });
     let hindered = told.expect("it has waited for a second");
--- a/crates/sched/tests/schedules/simulation.rs
+++ b/crates/sched/tests/schedules/simulation.rs
@@ -586,7 +586,7 @@
                     let delay_ms = self.rng.random_range(2..20);
                     self.schedule(delay_ms, Delivery::VmsListed(self.token, asked_at));
                 }
-                Action::OrderVm { vm, duty } => self.send_vm_order(vm, duty),
+                Action::OrderVm { vm, operation } => self.send_vm_order(vm, operation),
                 Action::ReportWave { wave, completed } => self.vms.told(wave, completed),
                 Action::DropSpec(_) | Action::Forget(_) | Action::Note(_) => {}
             }
--- a/crates/sched/tests/schedules/simulation/orders.rs
+++ b/crates/sched/tests/schedules/simulation/orders.rs
@@ -201,14 +201,18 @@
         self.answer(delay_ms, answer(taken));
     }
 
-    pub(super) fn send_vm_order(&mut self, vm: VmId, duty: VmOperation) {
+    pub(super) fn send_vm_order(&mut self, vm: VmId, operation: VmOperation) {
         let command = VmCommand {
             vm: vm.clone(),
-            duty: duty.clone(),
+            duty: operation.clone(),
             holder: "holder".into(),
             token: self.token,
         };
-        let answered = |answer| Event::VmOrderAnswered { vm, duty, answer };
+        let answered = |answer| Event::VmOrderAnswered {
+            vm,
+            operation,
+            answer,
+        };
         if self.is_late() {
             let delay_ms = self.rng.random_range(2_000..12_000);
             self.schedule(delay_ms, Delivery::VmOrder(command));
