--- a/crates/sched/tests/takeovers/simulation.rs
+++ b/crates/sched/tests/takeovers/simulation.rs
@@ -9,7 +9,7 @@
 use smol_str::SmolStr;
 use syc_cell::ports::OrderError;
 use syc_cell::ports::Renewal;
-use syc_cell::ports::Renewed;
+use syc_cell::ports::RenewalReply;
 use syc_cell::ports::StartCommand;
 use syc_cell::ports::StopCommand;
 use syc_fleet::Fault;
@@ -464,7 +464,7 @@
 
     /// Returns whether an answer of a worker is lost. Only the first answer that reports an end to the successor can
     /// be.
-    fn loses_answer(&mut self, token: u64, renewed: &Renewed) -> bool {
+    fn loses_answer(&mut self, token: u64, renewed: &RenewalReply) -> bool {
         if token == 1 || self.first_end_reported || renewed.report.ended.is_empty() {
             return false;
         }
