--- a/crates/cell/src/leader/vms.rs
+++ b/crates/cell/src/leader/vms.rs
@@ -127,7 +127,7 @@
         log::vm_ordered(&command, answer, ordered.err().as_ref());
         self.apply(Event::VmOrderAnswered {
             vm: command.vm,
-            duty: command.operation,
+            operation: command.operation,
             answer,
         });
     }
--- a/crates/sched/tests/core/stale_capacity.rs
+++ b/crates/sched/tests/core/stale_capacity.rs
@@ -176,7 +176,7 @@
     driver.advance(1_000);
     let actions = driver.scheduler.schedule(driver.now);
     let note = actions.into_iter().find_map(|action| match action {
-        Action::Note(Note::Waiting { hindered, .. }) => Some(hindered),
+        Action::Note(Note::Waiting { unusable, .. }) => Some(unusable),
         _ => None,
     });
     let hindered = note.expect("a note after a second of waiting");
