--- a/crates/cell/src/leader/progress_writer.rs
+++ b/crates/cell/src/leader/progress_writer.rs
@@ -219,7 +219,7 @@
     }
 
     /// Makes an empty append to prove this scheduler's authority if jobs wait for such a proof and
-    /// there is nothing else to write. Returns whether it made one.
+    /// there is nothing else to write. Returns false if no proof is needed or this node was fenced.
     async fn append_proof(self: &Rc<Self>) -> bool {
         let sent_at = now();
         if !self.scheduler.borrow().wants_proof(sent_at) {
