--- a/crates/cell/src/leader.rs
+++ b/crates/cell/src/leader.rs
@@ -30,7 +30,7 @@
 use smol_str::SmolStr;
 use syc_net::PeerClient;
 use syc_sched::Action;
-use syc_sched::Advisers;
+use syc_sched::AdviceNodes;
 use syc_sched::Authority;
 use syc_sched::Counts;
 use syc_sched::Event;
@@ -111,7 +111,7 @@
     /// Signals that a batch of progress was written.
     progress_written: Notify,
     sessions: RefCell<SecondaryMap<WorkerKey, Session>>,
-    advisers: RefCell<Advisers>,
+    advisers: RefCell<AdviceNodes>,
     /// Adaptive slack beyond the expected duration of advice calls.
     advice_timeout: AdaptiveTimeout,
     /// Clients for the other nodes that can call the advice service.
@@ -155,9 +155,9 @@
         let options = options(node);
         let mut scheduler = Scheduler::new(options);
         scheduler.set_jobs_read(Millis(0));
-        scheduler.set_chosen(now());
-        scheduler.require_proof();
-        scheduler.set_predecessors_prove(predecessors_prove);
+        scheduler.set_elected_at(now());
+        scheduler.require_leadership_proof();
+        scheduler.set_predecessors_require_proof(predecessors_prove);
         let leader = Rc::new(Self {
             node: Rc::clone(node),
             token,
@@ -173,7 +173,7 @@
             progress_notify: Notify::new(),
             progress_written: Notify::new(),
             sessions: RefCell::default(),
-            advisers: RefCell::new(Advisers::with_own(node.settings.name.clone(), now())),
+            advisers: RefCell::new(AdviceNodes::with_local(node.settings.name.clone(), now())),
             advice_timeout: AdaptiveTimeout::default(),
             adviser_clients: RefCell::default(),
             jobs_read_at: RefCell::new(vec![Millis(0); partitions]),
@@ -258,7 +258,7 @@
         let actions = self.scheduler.borrow_mut().handle(event, now());
         self.perform(actions);
         self.schedule_notify.notify_one();
-        if self.scheduler.borrow().has_records() {
+        if self.scheduler.borrow().has_unrecorded_changes() {
             self.progress_notify.notify_one();
         }
     }
@@ -277,7 +277,7 @@
                 scheduler.schedule(now())
             };
             self.perform(actions);
-            if self.scheduler.borrow().has_records() {
+            if self.scheduler.borrow().has_unrecorded_changes() {
                 self.progress_notify.notify_one();
             }
             pause(SCHEDULE_INTERVAL_MS).await;
@@ -302,14 +302,14 @@
                     run,
                     percent,
                 } => self.order_pace(worker, task, run, percent),
-                Action::Ask {
+                Action::RequestAdvice {
                     step,
                     workers,
                     expected_ms,
                 } => self.request_advice(step, workers, expected_ms),
                 Action::ListVms { asked_at } => self.list_vms(asked_at),
                 Action::OrderVm { vm, duty } => self.order_vm(vm, duty),
-                Action::TellWave { wave, completed } => self.queue_wave_status(wave, completed),
+                Action::ReportWave { wave, completed } => self.queue_wave_status(wave, completed),
                 Action::DropSpec(id) => self.specs_to_remove.borrow_mut().push(id),
                 Action::Forget(id) => self.progress_to_remove.borrow_mut().push(id),
                 Action::Note(note) => {
@@ -377,7 +377,7 @@
             let name = SmolStr::from(contact.node.as_str());
             self.day.borrow_mut().report(name, day);
         }
-        1 + self.advisers.borrow().others_before(&contact.node)
+        1 + self.advisers.borrow().remote_nodes_before(&contact.node)
     }
 
     /// Returns the agreed time of day, which decides when timed jobs are due.
@@ -388,7 +388,7 @@
     /// Passes the agreed time of day to the scheduler.
     pub(crate) fn update_day(&self) {
         let agreed = self.agreed_day();
-        self.scheduler.borrow_mut().set_day(agreed.anchor);
+        self.scheduler.borrow_mut().set_wall_clock(agreed.anchor);
     }
 
     /// Records that another node follows this scheduler.
@@ -406,13 +406,13 @@
 
     /// Records that the store accepted an append sent at `sent_at` under this fencing token.
     fn note_append_accepted(&self, sent_at: Millis) {
-        self.authority.borrow_mut().note_taken(sent_at);
+        self.authority.borrow_mut().note_append(sent_at);
     }
 
     /// Returns the time from which a lease decided on at `decided_at` counts, or `None` if a
     /// successor may already have been chosen, in which case this node must not send orders.
     fn lease_from(&self, decided_at: Millis) -> Option<Millis> {
-        self.authority.borrow().lease_from(decided_at, now())
+        self.authority.borrow().lease_start(decided_at, now())
     }
 
     /// Returns whether fewer than half of the workers have answered for longer than they are given
@@ -421,7 +421,7 @@
     /// That time adapts to how fast workers answer. With a fixed time, nodes kept handing over the
     /// role when all workers were slow.
     fn is_isolated_from_workers(&self, now: Millis) -> bool {
-        if self.scheduler.borrow().hears_half() {
+        if self.scheduler.borrow().half_of_workers_respond() {
             self.workers_heard_at.set(now);
             return false;
         }
@@ -431,7 +431,7 @@
     /// Hands over the role if this node appears isolated while the store, and therefore other
     /// nodes, may be reachable.
     pub(crate) fn hand_over_if_isolated(self: &Rc<Self>) {
-        if self.authority.borrow().is_over(now()) {
+        if self.authority.borrow().is_expired(now()) {
             self.step_down("isolated");
             return;
         }
@@ -469,13 +469,13 @@
     let status_drift_ms = settings.status_ms * CLOCK_DRIFT_PER_MILLE / 1_000;
     Options {
         lease_bound_ms: lease_ms + drift_ms + MAX_ORDER_DELAY_MS,
-        longest_lease_ms: longest_ms + longest_drift_ms + MAX_ORDER_DELAY_MS,
-        stop_ms: settings.stop_limit_ms,
-        status_ms: settings.status_ms + status_drift_ms,
-        upkeep_ms: settings.upkeep_ms,
+        max_lease_ms: longest_ms + longest_drift_ms + MAX_ORDER_DELAY_MS,
+        max_stop_ms: settings.stop_limit_ms,
+        ended_job_retention_ms: settings.status_ms + status_drift_ms,
+        maintenance_ms: settings.upkeep_ms,
         vm_order_pause_ms: settings.vm_order_pause_ms,
         order_retry_ms: settings.timing.order_timeout_ms,
-        told_within_ms: settings.worker_heartbeat_ms * MAX_MISSED_HEARTBEATS
+        capacity_report_deadline_ms: settings.worker_heartbeat_ms * MAX_MISSED_HEARTBEATS
             + MAX_HEARTBEAT_DELAY_MS,
         ..Options::default()
     }
--- a/crates/cell/src/leader/advice.rs
+++ b/crates/cell/src/leader/advice.rs
@@ -7,7 +7,7 @@
 use syc_net::PeerClient;
 use syc_obs::Stage;
 use syc_sched::AdviceAnswer;
-use syc_sched::Allowed;
+use syc_sched::AllowedWorker;
 use syc_sched::CallLength;
 use syc_sched::Event;
 use syc_sched::StepId;
@@ -44,9 +44,9 @@
         };
         let name = SmolStr::from(contact.node.as_str());
         let mut advisers = self.advisers.borrow_mut();
-        let is_new = advisers.meet(&name, now());
+        let is_new = advisers.note_heartbeat(&name, now());
         let mut clients = self.adviser_clients.borrow_mut();
-        clients.retain(|name, _| advisers.knows(name));
+        clients.retain(|name, _| advisers.has_node(name));
         if is_new {
             let client = PeerClient::new(address, contact::peer_options());
             clients.insert(name, Rc::new(client));
@@ -103,7 +103,7 @@
     ) -> Result<Advice, AdviceError> {
         let slack_ms = self.advice_timeout.timeout_ms(MIN_SLACK_MS);
         let timeout_ms = expected_ms + slack_ms;
-        let Some(name) = self.advisers.borrow_mut().take(length, now()) else {
+        let Some(name) = self.advisers.borrow_mut().acquire(length, now()) else {
             return Err(AdviceError(SmolStr::new_static(
                 "no node is available for an advice call",
             )));
@@ -141,7 +141,7 @@
             self.advice_timeout.record(excess_ms.min(slack_ms));
         }
         let mut advisers = self.advisers.borrow_mut();
-        advisers.give_back(&name, length, advice.is_ok(), now());
+        advisers.release(&name, length, advice.is_ok(), now());
         advice
     }
 
@@ -157,7 +157,7 @@
             let Some((key, _)) = key else {
                 continue;
             };
-            allowed.push(Allowed {
+            allowed.push(AllowedWorker {
                 worker: key,
                 ticket,
             });
--- a/crates/cell/src/leader/orders.rs
+++ b/crates/cell/src/leader/orders.rs
@@ -142,7 +142,7 @@
     fn handle_terminal_error(self: &Rc<Self>, worker: WorkerKey, error: &OrderError) -> bool {
         match error {
             OrderError::Replaced => self.apply(Event::Replaced { worker }),
-            OrderError::Reborn => self.apply(Event::Reborn { worker }),
+            OrderError::Reborn => self.apply(Event::Restarted { worker }),
             OrderError::Fenced => self.step_down("fenced_by_worker"),
             OrderError::Refused(_)
             | OrderError::NotSent(_)
--- a/crates/cell/src/leader/progress_writer.rs
+++ b/crates/cell/src/leader/progress_writer.rs
@@ -222,7 +222,7 @@
     /// there is nothing else to write. Returns false if no proof is needed or this node was fenced.
     async fn append_proof(self: &Rc<Self>) -> bool {
         let sent_at = now();
-        if !self.scheduler.borrow().wants_proof(sent_at) {
+        if !self.scheduler.borrow().needs_leadership_proof(sent_at) {
             return false;
         }
         let jobs_added = self.scheduler.borrow().jobs_added();
@@ -251,7 +251,7 @@
 
     /// Requests a proof of authority if jobs need one now or soon.
     pub(crate) fn request_proof(&self) {
-        if self.scheduler.borrow().wants_proof(now()) {
+        if self.scheduler.borrow().needs_leadership_proof(now()) {
             self.progress_notify.notify_one();
         }
     }
@@ -259,8 +259,8 @@
     fn record_proof(&self, jobs_added: u64, sent_at: Millis) {
         self.note_append_accepted(sent_at);
         let mut scheduler = self.scheduler.borrow_mut();
-        let had_waiting = scheduler.wants_proof(now());
-        scheduler.set_proof(jobs_added, sent_at);
+        let had_waiting = scheduler.needs_leadership_proof(now());
+        scheduler.record_leadership_proof(jobs_added, sent_at);
         if had_waiting {
             self.schedule_notify.notify_one();
         }
@@ -353,7 +353,7 @@
     /// Waits until pending progress is written, up to a time limit.
     pub(super) async fn flush_progress(self: &Rc<Self>) {
         let until = now().plus(FINAL_WRITE_TIMEOUT_MS);
-        while now() < until && self.scheduler.borrow().has_records() {
+        while now() < until && self.scheduler.borrow().has_unrecorded_changes() {
             self.progress_notify.notify_one();
             pause(RETRY_MS / 5).await;
         }
--- a/crates/cell/src/leader/takeover.rs
+++ b/crates/cell/src/leader/takeover.rs
@@ -327,7 +327,7 @@
     let mut scheduler = leader.scheduler.borrow_mut();
     let now = now();
     let ended: Vec<_> = progress.iter().filter_map(ended_job).collect();
-    scheduler.restore_ended(&ended, now);
+    scheduler.restore_ended_jobs(&ended, now);
     // Only the relative ages matter, so this node's clock is not used.
     let newest = specs.iter().map(|spec| spec.accepted_at_ms).max();
     let newest = newest.unwrap_or_default();
--- a/crates/sched/src/watch.rs
+++ b/crates/sched/src/tick.rs
@@ -5,7 +5,7 @@
 use crate::Scheduler;
 use crate::StopReason;
 use crate::WorkerKey;
-use crate::reports::belief;
+use crate::reports::status_note;
 use crate::worker::Phase;
 
 /// Most times that the time for which a worker is quarantined doubles.
@@ -13,50 +13,51 @@
 
 impl Scheduler {
     /// Looks at everything that time alone changes.
-    pub(crate) fn watch(&mut self, now: Millis) {
-        self.recover(now);
-        self.give_up_strays(now);
-        self.give_up_misdirected(now);
-        self.watch_headroom();
+    pub(crate) fn tick(&mut self, now: Millis) {
+        self.try_complete_recovery(now);
+        self.discard_orphans(now);
+        self.expire_misdirected(now);
+        self.update_headroom_level();
         let mut keys: Vec<_> = self.workers.keys().collect();
         // Whoever comes first may use up what the cell has for repeats.
         let turn = usize::try_from(now.0).unwrap_or(0) % keys.len().max(1);
         keys.rotate_left(turn);
         for key in keys {
-            self.repeat_orders(key, now);
-            self.watch_progress(key, now);
-            self.watch_doubts(key, now);
-            self.watch_lease(key, now);
+            self.retry_orders(key, now);
+            self.check_progress(key, now);
+            self.check_in_doubt_orders(key, now);
+            self.expire_lease(key, now);
         }
-        self.give_up_advice(now);
-        self.watch_waves(now);
-        self.watch_pools(now);
-        self.forget_old(now);
+        self.time_out_advice_calls(now);
+        self.advance_waves(now);
+        self.balance_pools(now);
+        self.forget_expired_jobs(now);
     }
 
     /// Takes what ran on a worker as ended once its leases have surely lapsed: it is silent, or they are let
     /// lapse on purpose.
-    pub(crate) fn watch_lease(&mut self, key: WorkerKey, now: Millis) {
+    pub(crate) fn expire_lease(&mut self, key: WorkerKey, now: Millis) {
         let worker = &self.workers[key];
-        if (worker.silent || worker.contact.lapsing) && worker.lapse_at <= now {
-            self.lapse_runs(key, now);
+        if (worker.silent || worker.contact.withholds_lease) && worker.lapse_at <= now {
+            self.expire_runs(key, now);
         }
-        self.detach_if_over(key, now);
+        self.detach_if_idle(key, now);
     }
 
     /// Stops runs that stand still, and quarantines their worker.
-    fn watch_progress(&mut self, key: WorkerKey, now: Millis) {
+    fn check_progress(&mut self, key: WorkerKey, now: Millis) {
         let worker = &self.workers[key];
         if worker.silent {
             return;
         }
         let mut stalled = Vec::new();
-        for ((task, run), of_run) in &worker.runs {
-            if of_run.phase != Phase::Running || of_run.percent >= 100 {
+        for ((task, run), run_state) in &worker.runs {
+            if run_state.phase != Phase::Running || run_state.percent >= 100 {
                 continue;
             }
-            let still_ms = now.since(of_run.percent_at);
-            if still_ms > self.stall_bound_ms(task.step) && worker.last_answer_at.plus(500) > now {
+            let still_ms = now.since(run_state.percent_at);
+            if still_ms > self.stall_timeout_ms(task.step) && worker.last_answer_at.plus(500) > now
+            {
                 stalled.push((*task, *run));
             }
         }
@@ -64,10 +65,10 @@
             return;
         }
         for (task, run) in stalled {
-            if let Some((job, step, unit, _member)) = self.locate(task) {
+            if let Some((job, step, unit, _member)) = self.locate_task(task) {
                 let unit = &mut self.jobs[job].steps[step].units[unit];
-                if !unit.avoid.contains(&key) {
-                    unit.avoid.push(key);
+                if !unit.avoided_workers.contains(&key) {
+                    unit.avoided_workers.push(key);
                 }
             }
             self.stop_run(key, task, run, StopReason::Stalled, now);
@@ -77,24 +78,24 @@
 
     /// Returns how long a run of a step may show no progress: one percent of it is a hundredth of
     /// its work, and its estimate may be off by half or more.
-    fn stall_bound_ms(&self, step: crate::StepId) -> u64 {
+    fn stall_timeout_ms(&self, step: crate::StepId) -> u64 {
         let job = self.job_keys.get(&step.job).map(|key| &self.jobs[*key]);
-        let of_step = job.and_then(|job| job.spec.steps.get(usize::from(step.step)));
+        let step_spec = job.and_then(|job| job.spec.steps.get(usize::from(step.step)));
         // What fills may get nothing for a while, and is none the worse for it.
-        if of_step.is_some_and(|step| step.long_running || step.fills) {
+        if step_spec.is_some_and(|spec| spec.long_running || spec.fills) {
             return u64::MAX;
         }
-        let estimate_ms = of_step.map_or(0, |step| step.estimate_ms);
-        self.options.stall_ms + estimate_ms / 10
+        let estimate_ms = step_spec.map_or(0, |step| step.estimate_ms);
+        self.options.stall_timeout_ms + estimate_ms / 10
     }
 
     /// Quarantines a worker that fails all that it starts.
     pub(crate) fn quarantine_if_failing(&mut self, key: WorkerKey, now: Millis) {
         let worker = &self.workers[key];
-        if worker.failures_in_row < self.options.failures_in_row_limit {
+        if worker.consecutive_failures < self.options.run_failures_limit {
             return;
         }
-        self.workers[key].failures_in_row = 0;
+        self.workers[key].consecutive_failures = 0;
         self.quarantine(key, "fails", now);
     }
 
@@ -106,17 +107,17 @@
         let times = 1_u64 << worker.quarantines.min(QUARANTINE_DOUBLINGS);
         worker.quarantines += 1;
         worker.quarantined_until = now.plus(self.options.quarantine_ms * times);
-        let note = belief(worker, why, now);
+        let note = status_note(worker, why, now);
         self.actions.push(note);
     }
 
     /// Moves what can go on elsewhere off a worker that is about to leave.
-    pub(crate) fn move_off_draining(&mut self, key: WorkerKey, now: Millis) {
-        let note = belief(&self.workers[key], "draining", now);
+    pub(crate) fn evacuate_draining_worker(&mut self, key: WorkerKey, now: Millis) {
+        let note = status_note(&self.workers[key], "draining", now);
         self.actions.push(note);
         let mut moves = Vec::new();
-        for ((task, run), of_run) in &self.workers[key].runs {
-            if of_run.checkpointed && of_run.phase == Phase::Running {
+        for ((task, run), run_state) in &self.workers[key].runs {
+            if run_state.checkpointed && run_state.phase == Phase::Running {
                 moves.push((*task, *run));
             }
         }
--- a/crates/sched/tests/core/advice.rs
+++ b/crates/sched/tests/core/advice.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn the_most_urgent_steps_get_the_free_places_for_calls() {
+fn most_urgent_steps_get_the_free_advice_slots() {
     let mut driver = Driver::new(4, 8);
     driver.submit(1, advised(2, 100.0), vec![step(1, 1)]);
     driver.submit(2, advised(1, 100.0), vec![step(1, 1)]);
@@ -29,11 +29,19 @@
     let slots = AdviceSlots { short: 1, long: 1 };
     driver.scheduler.set_advice_slots(slots);
     driver.schedule();
-    let asked: Vec<_> = driver.asks.iter().map(|(step, _)| step.job.0).collect();
+    let asked: Vec<_> = driver
+        .advice_requests
+        .iter()
+        .map(|(step, _)| step.job.0)
+        .collect();
     assert_eq!(asked, [3, 2]);
 
     driver.scheduler.set_advice_slots(slots);
     driver.schedule();
-    let asked: Vec<_> = driver.asks.iter().map(|(step, _)| step.job.0).collect();
+    let asked: Vec<_> = driver
+        .advice_requests
+        .iter()
+        .map(|(step, _)| step.job.0)
+        .collect();
     assert_eq!(asked, [3, 2, 4, 1]);
 }
