--- a/crates/cell/src/leader.rs
+++ b/crates/cell/src/leader.rs
@@ -111,11 +111,11 @@
     /// Signals that a batch of progress was written.
     progress_written: Notify,
     sessions: RefCell<SecondaryMap<WorkerKey, Session>>,
-    advisers: RefCell<AdviceNodes>,
+    advice_nodes: RefCell<AdviceNodes>,
     /// Adaptive slack beyond the expected duration of advice calls.
     advice_timeout: AdaptiveTimeout,
     /// Clients for the other nodes that can call the advice service.
-    adviser_clients: RefCell<BTreeMap<SmolStr, Rc<PeerClient>>>,
+    advice_clients: RefCell<BTreeMap<SmolStr, Rc<PeerClient>>>,
     /// For each jobs partition, when the last read that reached its end was sent.
     jobs_read_at: RefCell<Vec<Millis>>,
     /// Partitions that hold the submitted records of each job; several if its submission was
@@ -150,14 +150,14 @@
     ///
     /// `predecessors_prove` says whether all predecessors start jobs only while they hold a proof
     /// of authority.
-    pub(crate) fn start(node: &Rc<Node<P>>, token: u64, predecessors_prove: bool) {
+    pub(crate) fn start(node: &Rc<Node<P>>, token: u64, predecessors_require_proof: bool) {
         let partitions = usize::try_from(node.settings.job_partitions()).unwrap_or(1);
         let options = options(node);
         let mut scheduler = Scheduler::new(options);
         scheduler.set_jobs_read(Millis(0));
         scheduler.set_elected_at(now());
         scheduler.require_leadership_proof();
-        scheduler.set_predecessors_require_proof(predecessors_prove);
+        scheduler.set_predecessors_require_proof(predecessors_require_proof);
         let leader = Rc::new(Self {
             node: Rc::clone(node),
             token,
@@ -173,9 +173,9 @@
             progress_notify: Notify::new(),
             progress_written: Notify::new(),
             sessions: RefCell::default(),
-            advisers: RefCell::new(AdviceNodes::with_local(node.settings.name.clone(), now())),
+            advice_nodes: RefCell::new(AdviceNodes::with_local(node.settings.name.clone(), now())),
             advice_timeout: AdaptiveTimeout::default(),
-            adviser_clients: RefCell::default(),
+            advice_clients: RefCell::default(),
             jobs_read_at: RefCell::new(vec![Millis(0); partitions]),
             partitions_by_job: RefCell::default(),
             specs_to_remove: RefCell::default(),
@@ -270,7 +270,7 @@
             if self.handing_over.get() {
                 continue;
             }
-            let slots = self.advisers.borrow().slots(now());
+            let slots = self.advice_nodes.borrow().slots(now());
             let actions = {
                 let mut scheduler = self.scheduler.borrow_mut();
                 scheduler.set_advice_slots(slots);
@@ -371,13 +371,16 @@
     /// as there are enough.
     pub(crate) fn register_peer(&self, contact: &Contact) -> u32 {
         self.peer_heard_at.set(Some(now()));
-        self.register_adviser(contact);
+        self.register_advice_node(contact);
         self.note_follower(contact);
         if let Some(day) = reported_anchor(now(), contact.day_ms) {
             let name = SmolStr::from(contact.node.as_str());
             self.day.borrow_mut().report(name, day);
         }
-        1 + self.advisers.borrow().remote_nodes_before(&contact.node)
+        1 + self
+            .advice_nodes
+            .borrow()
+            .remote_nodes_before(&contact.node)
     }
 
     /// Returns the agreed time of day, which decides when timed jobs are due.
--- a/crates/cell/src/leader/advice.rs
+++ b/crates/cell/src/leader/advice.rs
@@ -35,7 +35,7 @@
     P: Platform,
 {
     /// Registers a node that can call the advice service.
-    pub(super) fn register_adviser(&self, contact: &Contact) {
+    pub(super) fn register_advice_node(&self, contact: &Contact) {
         let Ok(address) = contact.address.parse() else {
             let reason = "the address of the node is malformed";
             self.node
@@ -43,10 +43,10 @@
             return;
         };
         let name = SmolStr::from(contact.node.as_str());
-        let mut advisers = self.advisers.borrow_mut();
-        let is_new = advisers.note_heartbeat(&name, now());
-        let mut clients = self.adviser_clients.borrow_mut();
-        clients.retain(|name, _| advisers.has_node(name));
+        let mut advice_nodes = self.advice_nodes.borrow_mut();
+        let is_new = advice_nodes.note_heartbeat(&name, now());
+        let mut clients = self.advice_clients.borrow_mut();
+        clients.retain(|name, _| advice_nodes.has_node(name));
         if is_new {
             let client = PeerClient::new(address, contact::peer_options());
             clients.insert(name, Rc::new(client));
@@ -103,12 +103,12 @@
     ) -> Result<Advice, AdviceError> {
         let slack_ms = self.advice_timeout.timeout_ms(MIN_SLACK_MS);
         let timeout_ms = expected_ms + slack_ms;
-        let Some(name) = self.advisers.borrow_mut().acquire(length, now()) else {
+        let Some(name) = self.advice_nodes.borrow_mut().acquire(length, now()) else {
             return Err(AdviceError(SmolStr::new_static(
                 "no node is available for an advice call",
             )));
         };
-        let client = self.adviser_clients.borrow().get(&name).cloned();
+        let client = self.advice_clients.borrow().get(&name).cloned();
         let sent_at = now();
         let advice = match client {
             None => {
@@ -140,8 +140,8 @@
             let excess_ms = took_ms.saturating_sub(expected_ms);
             self.advice_timeout.record(excess_ms.min(slack_ms));
         }
-        let mut advisers = self.advisers.borrow_mut();
-        advisers.release(&name, length, advice.is_ok(), now());
+        let mut advice_nodes = self.advice_nodes.borrow_mut();
+        advice_nodes.release(&name, length, advice.is_ok(), now());
         advice
     }
 
--- a/crates/cell/src/leader/progress_writer.rs
+++ b/crates/cell/src/leader/progress_writer.rs
@@ -176,7 +176,7 @@
         };
         let waves = self.scheduler.borrow().wave_records();
         if changed_jobs.is_empty() && roster.is_none() && waves.is_empty() {
-            return self.append_proof().await;
+            return self.append_leadership_proof().await;
         }
         let mut batch: Vec<Record> = Vec::with_capacity(changed_jobs.len() + 1);
         if let Some(change) = &roster {
@@ -194,7 +194,7 @@
         let Some(sent_at) = self.append_progress(&batch).await else {
             return false;
         };
-        self.record_proof(jobs_added, sent_at);
+        self.record_leadership_proof(jobs_added, sent_at);
         let written_ms = now().since(started_at);
         for (id, _change, progress) in &changed_jobs {
             if progress.state.is_terminal() {
@@ -220,7 +220,7 @@
 
     /// Makes an empty append to prove this scheduler's authority if jobs wait for such a proof and
     /// there is nothing else to write. Returns false if no proof is needed or this node was fenced.
-    async fn append_proof(self: &Rc<Self>) -> bool {
+    async fn append_leadership_proof(self: &Rc<Self>) -> bool {
         let sent_at = now();
         if !self.scheduler.borrow().needs_leadership_proof(sent_at) {
             return false;
@@ -235,7 +235,7 @@
             .await;
         match appended {
             Ok(_) | Err(AppendError::OutOfSequence { .. }) => {
-                self.record_proof(jobs_added, sent_at);
+                self.record_leadership_proof(jobs_added, sent_at);
             }
             Err(AppendError::Fenced) => {
                 self.step_down("fenced_by_store");
@@ -250,18 +250,18 @@
     }
 
     /// Requests a proof of authority if jobs need one now or soon.
-    pub(crate) fn request_proof(&self) {
+    pub(crate) fn request_leadership_proof(&self) {
         if self.scheduler.borrow().needs_leadership_proof(now()) {
             self.progress_notify.notify_one();
         }
     }
 
-    fn record_proof(&self, jobs_added: u64, sent_at: Millis) {
+    fn record_leadership_proof(&self, jobs_added: u64, sent_at: Millis) {
         self.note_append_accepted(sent_at);
         let mut scheduler = self.scheduler.borrow_mut();
-        let had_waiting = scheduler.needs_leadership_proof(now());
+        let was_needed = scheduler.needs_leadership_proof(now());
         scheduler.record_leadership_proof(jobs_added, sent_at);
-        if had_waiting {
+        if was_needed {
             self.schedule_notify.notify_one();
         }
     }
--- a/crates/cell/src/leader/readers.rs
+++ b/crates/cell/src/leader/readers.rs
@@ -121,7 +121,7 @@
                     self.node.metrics.stage(queue, Stage::HandOver, age_ms);
                 }
                 self.apply(Event::JobStored { spec, age_ms });
-                self.request_proof();
+                self.request_leadership_proof();
             }
             JobRecord::Cancelled(id) => {
                 self.track_job_partition(id, partition);
--- a/crates/cell/src/leader/vms.rs
+++ b/crates/cell/src/leader/vms.rs
@@ -91,10 +91,10 @@
         Err(ListVmsError("the list of VMs has too many pages".into()))
     }
 
-    pub(super) fn order_vm(self: &Rc<Self>, vm: VmId, duty: VmOperation) {
+    pub(super) fn order_vm(self: &Rc<Self>, vm: VmId, operation: VmOperation) {
         let command = VmCommand {
             vm,
-            duty,
+            duty: operation,
             holder: self.node.settings.name.clone(),
             token: self.token,
         };
--- a/crates/cell/src/node.rs
+++ b/crates/cell/src/node.rs
@@ -265,7 +265,7 @@
         if let Some(leader) = node.leader() {
             leader.update_day();
             leader.apply(Event::Ticked);
-            leader.request_proof();
+            leader.request_leadership_proof();
             leader.hand_over_if_isolated();
         }
         flush_lines();
