--- a/crates/cell/src/leader.rs
+++ b/crates/cell/src/leader.rs
@@ -148,8 +148,8 @@
 {
     /// Starts the scheduler role with the fencing token of a successful claim.
     ///
-    /// `predecessors_prove` says whether all predecessors start jobs only while they hold a proof
-    /// of authority.
+    /// `predecessors_require_proof` says whether all predecessors start jobs only with a leadership
+    /// proof.
     pub(crate) fn start(node: &Rc<Node<P>>, token: u64, predecessors_require_proof: bool) {
         let partitions = usize::try_from(node.settings.job_partitions()).unwrap_or(1);
         let options = options(node);
--- a/crates/cell/src/leader/progress_writer.rs
+++ b/crates/cell/src/leader/progress_writer.rs
@@ -218,8 +218,8 @@
         true
     }
 
-    /// Makes an empty append to prove this scheduler's authority if jobs wait for such a proof and
-    /// there is nothing else to write. Returns false if no proof is needed or this node was fenced.
+    /// Makes an empty append as a leadership proof if jobs wait for one and there is nothing else to
+    /// write. Returns false if no proof is needed or this node was fenced.
     async fn append_leadership_proof(self: &Rc<Self>) -> bool {
         let sent_at = now();
         if !self.scheduler.borrow().needs_leadership_proof(sent_at) {
@@ -249,7 +249,7 @@
         true
     }
 
-    /// Requests a proof of authority if jobs need one now or soon.
+    /// Requests a leadership proof if jobs need one now or soon.
     pub(crate) fn request_leadership_proof(&self) {
         if self.scheduler.borrow().needs_leadership_proof(now()) {
             self.progress_notify.notify_one();
