--- a/crates/cell/src/leader/takeover.rs
+++ b/crates/cell/src/leader/takeover.rs
@@ -34,7 +34,7 @@
 use crate::leader::retry_report::RetryReport;
 use crate::leader::vms::write_statuses;
 use crate::log;
-use crate::log::Loaded;
+use crate::log::LoadedState;
 use crate::ports::Newest;
 use crate::ports::Platform;
 use crate::ports::Topic;
@@ -71,13 +71,13 @@
     let stored = read_stored_state(&leader).await;
     let read_ms = now().since(started_at) - fenced_ms;
     let progress_records = restore_all(&leader, &stored);
-    let loaded = Loaded {
+    let loaded = LoadedState {
         counts: leader.counts(),
         progress_records,
         fenced_ms,
         read_ms,
     };
-    log::loaded(leader.token, &loaded);
+    log::state_loaded(leader.token, &loaded);
     leader.spawn(readers::follow_workers(
         Rc::clone(&leader),
         stored.workers.read_from,
--- a/crates/cell/src/submissions.rs
+++ b/crates/cell/src/submissions.rs
@@ -1,6 +1,7 @@
-//! Storing what callers submit: nothing is accepted before the store has acknowledged it.
+//! Stores jobs and cancellations that callers submit. Nothing is accepted before the store has acknowledged it.
 //!
-//! What is sent where, and when a caller is turned away, [`syc_admit::Admission`] decides; here it is carried out.
+//! [`syc_admit::Admission`] decides which records are sent where and which are refused. This module carries out
+//! its decisions.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -35,40 +36,40 @@
 use crate::ports::Record;
 use crate::records;
 
-/// A node that takes a record of another answers this much before the other's patience is over: time for the
-/// answer to get there.
+/// A node that stores a relayed record answers this long before the sender's timeout, so that the answer arrives
+/// in time.
 const REPLY_MARGIN_MS: u64 = 100;
 
-/// What became of a record.
+/// Outcome of storing a submitted record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreOutcome {
-    /// The store has it.
+    /// The store has acknowledged the record.
     Stored,
-    /// The store does not have it and never will.
+    /// The record is not in the store and never will be.
     Refused {
-        /// When the caller should come back.
-        come_back_ms: u64,
+        /// Time after which the caller should retry.
+        retry_after_ms: u64,
     },
-    /// It may be in the store, or come into it.
+    /// The record may be in the store, or may still be stored.
     InDoubt,
 }
 
-/// What is known of a record whose caller is answered.
+/// Final outcome of a record, sent to the task that waits for it.
 #[derive(Debug, Clone, Copy)]
-struct Settlement {
+struct Completion {
     outcome: Outcome,
-    /// Whether the scheduler knows of it already.
+    /// Whether the scheduler already knows the record.
     is_known_to_scheduler: bool,
 }
 
-/// Records on their way into the store.
+/// Records that are being stored.
 #[derive(Debug)]
 pub(crate) struct SubmissionQueue {
     admission: RefCell<Admission>,
     records: RefCell<SecondaryMap<RecordKey, PendingRecord>>,
-    /// When the next decision is due.
+    /// Time of the next admission decision.
     due_at: Cell<Option<Millis>>,
-    /// Says that it is due sooner.
+    /// Notifies that `due_at` moved to an earlier time.
     due_sooner: Notify,
 }
 
@@ -76,7 +77,7 @@
 struct PendingRecord {
     record: Record,
     is_known_to_scheduler: bool,
-    reply: oneshot::Sender<Settlement>,
+    reply: oneshot::Sender<Completion>,
 }
 
 impl SubmissionQueue {
@@ -93,18 +94,18 @@
         !self.admission.borrow().is_idle()
     }
 
-    /// Returns the time that an append takes now.
+    /// Returns the current append time of jobs.
     pub(crate) fn append_ms(&self) -> u64 {
         self.admission.borrow().append_ms(now())
     }
 
-    /// Answers all callers by a time.
+    /// Makes admission answer all callers by this time.
     pub(crate) fn stop_by(&self, at: Millis) {
         self.admission.borrow_mut().stop_by(at);
         self.decide_soon();
     }
 
-    /// Has the next decision made at once.
+    /// Schedules the next admission decision for now.
     pub(crate) fn decide_soon(&self) {
         if self.is_busy() {
             self.set_due(Some(now()));
@@ -131,12 +132,12 @@
         let Some(pending) = self.records.borrow_mut().remove(key) else {
             return;
         };
-        let settled = Settlement {
+        let completion = Completion {
             outcome,
             is_known_to_scheduler: pending.is_known_to_scheduler,
         };
-        // A caller that left needs no answer.
-        let _abandoned = pending.reply.send(settled);
+        // A caller that has disconnected needs no answer.
+        let _abandoned = pending.reply.send(completion);
     }
 }
 
@@ -144,30 +145,30 @@
 where
     P: Platform,
 {
-    /// Stores a job; it is accepted once the store has it.
+    /// Stores a job. The job is accepted once the store has acknowledged it.
     pub async fn submit(self: &Rc<Self>, spec: &JobSpec) -> StoreOutcome {
         let timeout_ms = self.settings.timing.submit_timeout_ms;
         self.submit_within(spec, timeout_ms).await
     }
 
-    /// The same for a caller that waits so long for the answer.
+    /// Stores a job for a caller that waits for the answer for at most `timeout_ms`.
     pub async fn submit_within(self: &Rc<Self>, spec: &JobSpec, timeout_ms: u64) -> StoreOutcome {
         let timeout_ms = timeout_ms.min(self.settings.timing.submit_timeout_ms);
         let record = records::submitted(spec);
         self.store_and_notify(record, timeout_ms).await
     }
 
-    /// Stores that a job is cancelled.
+    /// Stores the cancellation of a job.
     pub async fn cancel(self: &Rc<Self>, id: JobId) -> StoreOutcome {
         let timeout_ms = self.settings.timing.submit_timeout_ms;
         self.store_and_notify(records::cancelled(id), timeout_ms)
             .await
     }
 
-    /// Stores a record, and tells the scheduler of it without waiting for that.
+    /// Stores a record, then notifies the scheduler without waiting for its reply.
     ///
-    /// The scheduler would find it in the store by itself, but later: by one answer of the store,
-    /// which takes a quarter of a second while the store is slow.
+    /// The scheduler would find the record in the store by itself, but one store round trip later, which takes a
+    /// quarter of a second while the store is slow.
     async fn store_and_notify(self: &Rc<Self>, record: Record, timeout_ms: u64) -> StoreOutcome {
         let deadline = now().plus(timeout_ms);
         let key = self
@@ -175,23 +176,21 @@
             .admission
             .borrow_mut()
             .offer(record.size(), deadline);
-        let settled = self.await_outcome(key, record.clone()).await;
-        match settled.outcome {
+        let completion = self.await_outcome(key, record.clone()).await;
+        match completion.outcome {
             Outcome::Stored { partition } => {
-                if !settled.is_known_to_scheduler {
+                if !completion.is_known_to_scheduler {
                     let node = Rc::clone(self);
                     actix_rt::spawn(async move { node.notify_scheduler(partition, record).await });
                 }
                 StoreOutcome::Stored
             }
-            Outcome::Refused { retry_after_ms } => StoreOutcome::Refused {
-                come_back_ms: retry_after_ms,
-            },
+            Outcome::Refused { retry_after_ms } => StoreOutcome::Refused { retry_after_ms },
             Outcome::InDoubt => StoreOutcome::InDoubt,
         }
     }
 
-    async fn await_outcome(self: &Rc<Self>, key: RecordKey, record: Record) -> Settlement {
+    async fn await_outcome(self: &Rc<Self>, key: RecordKey, record: Record) -> Completion {
         let (reply, answer) = oneshot::channel();
         let pending = PendingRecord {
             record,
@@ -200,7 +199,7 @@
         };
         self.submissions.records.borrow_mut().insert(key, pending);
         self.decide_admission();
-        answer.await.unwrap_or(Settlement {
+        answer.await.unwrap_or(Completion {
             outcome: Outcome::InDoubt,
             is_known_to_scheduler: false,
         })
@@ -220,13 +219,13 @@
             value: record.value,
             partition,
         });
-        // Without an answer, the scheduler finds the record in the store.
+        // If this notice is lost, the scheduler still finds the record in the store.
         let _notified = link
             .call(notice, self.settings.timing.peer_timeout_ms)
             .await;
     }
 
-    /// Stores a record of another node, if this is the scheduler's, and tells the scheduler of it.
+    /// Stores a record that another node relayed and notifies the scheduler, if this node still holds the role.
     pub(crate) async fn store_relayed(self: &Rc<Self>, relay: Relay) -> RelayReply {
         let timeout_ms = match relay.patience_ms {
             0 => self.settings.timing.store_timeout_ms / 2,
@@ -243,8 +242,8 @@
             .admission
             .borrow_mut()
             .offer_forwarded(record.size(), deadline);
-        let settled = self.await_outcome(key, record.clone()).await;
-        match settled.outcome {
+        let completion = self.await_outcome(key, record.clone()).await;
+        match completion.outcome {
             Outcome::Stored { partition } => {
                 let leader = self.leader();
                 if let Some(leader) = &leader {
@@ -280,7 +279,7 @@
         }
     }
 
-    /// Decides about the records on their way, and carries that out.
+    /// Runs the admission decision for the pending records and carries out its actions.
     pub(crate) fn decide_admission(self: &Rc<Self>) {
         let queue = &self.submissions;
         let actions = queue
@@ -304,8 +303,8 @@
                 Action::Answer { record, outcome } => queue.answer(record, outcome),
             }
         }
-        let next_at = queue.admission.borrow().next_decision_at(now());
-        queue.set_due(next_at);
+        let due_at = queue.admission.borrow().next_decision_at(now());
+        queue.set_due(due_at);
     }
 
     async fn append_batch(self: Rc<Self>, append: AppendKey, partition: u32, records: Vec<Record>) {
@@ -321,16 +320,16 @@
         self.decide_admission();
     }
 
-    /// Hands a record to the scheduler's node.
+    /// Relays a record to the scheduler's node.
     async fn relay_record(self: Rc<Self>, key: RecordKey, timeout_ms: u64) {
-        let began = now();
+        let started_at = now();
         let link = self.link.borrow().clone();
         let record = self.submissions.clone_records(&[key]).pop();
         let handed_over = match (link, record) {
             (Some(link), Some(record)) => self.send_relay(&link, key, record, timeout_ms).await,
             _ => ForwardAnswer::NotSent,
         };
-        let took_ms = now().since(began);
+        let took_ms = now().since(started_at);
         self.submissions
             .admission
             .borrow_mut()
@@ -368,7 +367,7 @@
     }
 }
 
-/// Decides whenever time alone makes that due.
+/// Runs admission decisions that become due as time passes.
 pub(crate) async fn run_admission_timer<P>(node: Rc<Node<P>>)
 where
     P: Platform,
