--- a/crates/cell/src/leader/vms.rs
+++ b/crates/cell/src/leader/vms.rs
@@ -94,7 +94,7 @@
     pub(super) fn order_vm(self: &Rc<Self>, vm: VmId, operation: VmOperation) {
         let command = VmCommand {
             vm,
-            operation: duty: operation,
+            operation,
             holder: self.node.settings.name.clone(),
             token: self.token,
         };
