--- a/crates/admit/tests/admit/simulation.rs
+++ b/crates/admit/tests/admit/simulation.rs
@@ -150,7 +150,7 @@
     deliveries: BTreeMap<(Millis, u64), Delivery>,
     deliveries_scheduled: u64,
     appends: u64,
-    submissions_due: f64,
+    submits_due: f64,
     pub answers: Vec<CallerAnswer>,
 }
 
@@ -169,7 +169,7 @@
             deliveries: BTreeMap::new(),
             deliveries_scheduled: 0,
             appends: 0,
-            submissions_due: 0.0,
+            submits_due: 0.0,
             answers: Vec::new(),
             setup,
         }
@@ -243,10 +243,9 @@
         if self.now.0 > self.setup.end_ms {
             return;
         }
-        self.submissions_due +=
-            self.setup.records_per_s / 1_000.0 * self.rng.random_range(0.0..=2.0);
-        while self.submissions_due >= 1.0 {
-            self.submissions_due -= 1.0;
+        self.submits_due += self.setup.records_per_s / 1_000.0 * self.rng.random_range(0.0..=2.0);
+        while self.submits_due >= 1.0 {
+            self.submits_due -= 1.0;
             let node = self.rng.random_range(0..self.setup.nodes);
             let deadline = self.now.plus(self.setup.timeout_ms);
             let record = self.nodes[node].offer(RECORD_BYTES, deadline);
--- a/crates/cell/src/contact.rs
+++ b/crates/cell/src/contact.rs
@@ -204,7 +204,7 @@
         link.remote_answered_at.set(Millis(reply.answered_at_ms));
     }
     // Whether pending records can be relayed may have changed.
-    node.submissions.decide_soon();
+    node.submit_queue.decide_soon();
     update_suspicion(node, link, &reply);
 }
 
@@ -305,7 +305,7 @@
         partition,
         day_ms: agreed.map_or(0, |agreed| agreed.anchor.day_at(now()).0),
         day_clocks: agreed.map_or(0, |agreed| agreed.clocks),
-        append_ms: node.submissions.append_ms(),
+        append_ms: node.submit_queue.append_ms(),
         answered_at_ms: now().0,
     }
 }
--- a/crates/cell/src/leader.rs
+++ b/crates/cell/src/leader.rs
@@ -118,7 +118,7 @@
     adviser_clients: RefCell<BTreeMap<SmolStr, Rc<PeerClient>>>,
     /// For each jobs partition, when the last read that reached its end was sent.
     jobs_read_at: RefCell<Vec<Millis>>,
-    /// Partitions that hold the submitted records of each job; several if its submission was
+    /// Partitions that hold the submitted records of each job; several if its submit was
     /// retried.
     partitions_by_job: RefCell<HashMap<JobId, Vec<u32>>>,
     /// Jobs whose submitted records are to be removed from the store.
--- a/crates/cell/src/lib.rs
+++ b/crates/cell/src/lib.rs
@@ -23,7 +23,7 @@
 pub mod records;
 mod settings;
 mod store_calls;
-mod submissions;
+mod submit;
 mod unreadable;
 
 pub use clock::WallClock;
@@ -37,6 +37,6 @@
 pub use settings::NodeSettings;
 pub use settings::Timing;
 pub use store_calls::StoreView;
-pub use submissions::StoreOutcome;
+pub use submit::StoreOutcome;
 pub use unreadable::Source;
 pub use unreadable::Unreadable;
--- a/crates/cell/src/node.rs
+++ b/crates/cell/src/node.rs
@@ -36,8 +36,8 @@
 use crate::log;
 use crate::ports::Platform;
 use crate::store_calls::StoreHealth;
-use crate::submissions::SubmissionQueue;
-use crate::submissions::run_admission_timer;
+use crate::submit::SubmitQueue;
+use crate::submit::run_admission_timer;
 use crate::unreadable::Unreadable;
 
 /// Interval at which a planned stop checks whether the node is idle.
@@ -86,7 +86,7 @@
     pub(crate) holder: RefCell<Option<Holder>>,
     pub(crate) link: RefCell<Option<Rc<HolderLink>>>,
     pub(crate) leader: RefCell<Option<Rc<Leader<P>>>>,
-    pub(crate) submissions: SubmissionQueue,
+    pub(crate) submit_queue: SubmitQueue,
     /// Partition to which this node appends jobs.
     pub(crate) partition: Cell<u32>,
     /// Notifies that the scheduler changed or is suspected to have failed.
@@ -120,7 +120,7 @@
             link: RefCell::default(),
             leader: RefCell::default(),
             partition: Cell::new(0),
-            submissions: SubmissionQueue::new(),
+            submit_queue: SubmitQueue::new(),
             holder_changed: Notify::new(),
             holder_suspected: Cell::new(false),
             stopping: Cell::new(false),
@@ -230,23 +230,23 @@
     }
 
     /// Begins a planned stop: the node reports that it is not ready and hands over the scheduler role. Pending
-    /// submissions are answered by `answer_by`, even if the store does not respond.
+    /// submit requests are answered by `answer_by`, even if the store does not respond.
     pub async fn begin_stop(self: &Rc<Self>, answer_by: Millis) {
         if self.stopping.replace(true) {
             return;
         }
-        self.submissions.stop_by(answer_by);
+        self.submit_queue.stop_by(answer_by);
         log::stopping(self.leader.borrow().is_some());
         if let Some(leader) = self.leader() {
             leader.hand_over("planned_stop").await;
         }
     }
 
-    /// Waits until every accepted submission is answered, for at most `limit_ms`.
+    /// Waits until every pending submit request is answered, for at most `limit_ms`.
     pub async fn finish_stop(&self, limit_ms: u64) {
         let deadline = now().plus(limit_ms);
         while now() < deadline {
-            if !self.submissions.is_busy() && self.unsent_replies.count() == 0 {
+            if !self.submit_queue.is_busy() && self.unsent_replies.count() == 0 {
                 break;
             }
             pause(IDLE_POLL_MS).await;
--- a/crates/cell/src/settings.rs
+++ b/crates/cell/src/settings.rs
@@ -84,7 +84,7 @@
     /// read, and increases the interval by half each time. Calls sent during a store outage are never answered, even
     /// after the store has recovered.
     pub full_read_hedge_ms: u64,
-    /// Longest time until a submission is answered. A caller's own shorter timeout takes precedence.
+    /// Longest time until a submit request is answered. A caller's own shorter timeout takes precedence.
     pub submit_timeout_ms: u64,
     /// Interval between reads of the jobs topic, over all partitions. Nodes notify the scheduler of stored jobs at
     /// once, so reads only find jobs whose notice was lost, and each read has a cost.
@@ -161,7 +161,7 @@
 
     /// Returns the number of partitions over which nodes distribute the jobs that they store.
     ///
-    /// A partition handles one append at a time. With one partition for each of a few dozen nodes, a submission waits
+    /// A partition handles one append at a time. With one partition for each of a few dozen nodes, a submit waits
     /// for one append instead of a queue of them, which a slow store could not complete within the timeout.
     #[must_use]
     pub fn job_partitions(&self) -> u32 {
--- a/crates/cell/src/store_calls.rs
+++ b/crates/cell/src/store_calls.rs
@@ -417,7 +417,7 @@
             !(has_failed_since && silent_ms > self.store.latency_timeout_ms(UNAVAILABLE_AFTER_MS));
         if self.store.answers.replace(answers) != answers {
             log::store_health(answers, kind, result, silent_ms);
-            self.submissions.decide_soon();
+            self.submit_queue.decide_soon();
         }
     }
 }
--- a/crates/cell/src/submissions.rs
+++ b/crates/cell/src/submit.rs
@@ -64,7 +64,7 @@
 
 /// Records that are being stored.
 #[derive(Debug)]
-pub(crate) struct SubmissionQueue {
+pub(crate) struct SubmitQueue {
     admission: RefCell<Admission>,
     records: RefCell<SecondaryMap<RecordKey, PendingRecord>>,
     /// Time of the next admission decision.
@@ -80,7 +80,7 @@
     reply: oneshot::Sender<Completion>,
 }
 
-impl SubmissionQueue {
+impl SubmitQueue {
     pub(crate) fn new() -> Self {
         Self {
             admission: RefCell::new(Admission::new(AdmitOptions::default())),
@@ -172,7 +172,7 @@
     async fn store_and_notify(self: &Rc<Self>, record: Record, timeout_ms: u64) -> StoreOutcome {
         let deadline = now().plus(timeout_ms);
         let key = self
-            .submissions
+            .submit_queue
             .admission
             .borrow_mut()
             .offer(record.size(), deadline);
@@ -197,7 +197,7 @@
             is_known_to_scheduler: false,
             reply,
         };
-        self.submissions.records.borrow_mut().insert(key, pending);
+        self.submit_queue.records.borrow_mut().insert(key, pending);
         self.decide_admission();
         answer.await.unwrap_or(Completion {
             outcome: Outcome::InDoubt,
@@ -238,7 +238,7 @@
         };
         let deadline = now().plus(timeout_ms);
         let key = self
-            .submissions
+            .submit_queue
             .admission
             .borrow_mut()
             .offer_forwarded(record.size(), deadline);
@@ -281,7 +281,7 @@
 
     /// Runs the admission decision for the pending records and carries out its actions.
     pub(crate) fn decide_admission(self: &Rc<Self>) {
-        let queue = &self.submissions;
+        let queue = &self.submit_queue;
         let actions = queue
             .admission
             .borrow_mut()
@@ -313,7 +313,7 @@
             Err(AppendError::InDoubt(_)) => AppendAnswer::InDoubt,
             Err(_) => AppendAnswer::Refused,
         };
-        self.submissions
+        self.submit_queue
             .admission
             .borrow_mut()
             .append_answered(append, answer, now());
@@ -324,13 +324,13 @@
     async fn relay_record(self: Rc<Self>, key: RecordKey, timeout_ms: u64) {
         let started_at = now();
         let link = self.link.borrow().clone();
-        let record = self.submissions.clone_records(&[key]).pop();
+        let record = self.submit_queue.clone_records(&[key]).pop();
         let handed_over = match (link, record) {
             (Some(link), Some(record)) => self.send_relay(&link, key, record, timeout_ms).await,
             _ => ForwardAnswer::NotSent,
         };
         let took_ms = now().since(started_at);
-        self.submissions
+        self.submit_queue
             .admission
             .borrow_mut()
             .forward_answered(key, handed_over, took_ms);
@@ -351,7 +351,7 @@
         });
         match link.call_without_reset(query, timeout_ms).await {
             Ok(CellBody::RelayReply(reply)) if reply.stored => {
-                if let Some(pending) = self.submissions.records.borrow_mut().get_mut(key) {
+                if let Some(pending) = self.submit_queue.records.borrow_mut().get_mut(key) {
                     pending.is_known_to_scheduler = reply.taken;
                 }
                 ForwardAnswer::Stored {
@@ -373,12 +373,12 @@
     P: Platform,
 {
     loop {
-        let wait_ms = node.submissions.due_at.get().map(|at| at.since(now()));
+        let wait_ms = node.submit_queue.due_at.get().map(|at| at.since(now()));
         match wait_ms {
-            None => node.submissions.due_sooner.notified().await,
+            None => node.submit_queue.due_sooner.notified().await,
             Some(wait_ms) => tokio::select! {
                 () = pause(wait_ms) => node.decide_admission(),
-                () = node.submissions.due_sooner.notified() => {}
+                () = node.submit_queue.due_sooner.notified() => {}
             },
         }
     }
--- a/crates/cell/tests/cell/store.rs
+++ b/crates/cell/tests/cell/store.rs
@@ -23,7 +23,7 @@
 use crate::cluster::node_name;
 use crate::cluster::step;
 
-/// Duration of a planned stop, shorter than the timeout of a submission.
+/// Duration of a planned stop, shorter than the timeout of a submit request.
 const STOP_MS: u64 = 300;
 
 fn node_names<I>(numbers: I) -> BTreeSet<SmolStr>
@@ -128,7 +128,7 @@
     assert_eq!(shown, StateAnswer::NoSuchJob);
 }
 
-/// A submission that arrived during a planned stop, on a connection that was kept alive, waited for a lost answer of
+/// A submit request that arrived during a planned stop, on a connection that was kept alive, waited for a lost answer of
 /// the store beyond the end of the stop. Its connection was closed without a reply.
 #[test]
 fn a_planned_stop_answers_pending_submits_before_its_deadline() {
@@ -145,7 +145,7 @@
         actix_rt::time::sleep(Duration::from_millis(10)).await;
         node.begin_stop(now().plus(STOP_MS)).await;
         node.finish_stop(STOP_MS).await;
-        // Submissions without an outcome would be cut off now.
+        // Submit requests without an outcome would be cut off now.
         submitted.now_or_never()
     });
     let outcome = outcome
--- a/crates/sched/src/ids.rs
+++ b/crates/sched/src/ids.rs
@@ -18,7 +18,7 @@
     pub(crate) struct JobKey;
 }
 
-/// Identifies a job. The submitter chooses it, which makes a repeated submission idempotent.
+/// Identifies a job. The submitter chooses it, which makes a repeated submit idempotent.
 ///
 /// Its text form is 16 lower-case hexadecimal digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
