--- a/crates/sched/src/placement.rs
+++ b/crates/sched/src/placement.rs
@@ -90,7 +90,7 @@
     /// Returns whether a worker accepts no more starts until its next answer, which is expected shortly.
     fn is_awaiting_answer(&self, key: WorkerKey) -> bool {
         let worker = &self.workers[key];
-        !worker.may_take_start() && worker.contact.is_healthy()
+        !worker.may_take_start() && worker.breaker.is_healthy()
     }
 
     /// Picks the worker with the best fit among those that have room for the task and may be sent another start.
--- a/crates/sched/src/usable.rs
+++ b/crates/sched/src/usable.rs
@@ -22,7 +22,7 @@
     TakesNoOrders,
     /// It is draining, or its VM is about to be taken.
     Leaving,
-    /// Its recent runs failed or were slow.
+    /// Recent starts or runs on it failed, or it was slow.
     Quarantined,
     /// It is reserved for an isolated suspect, or running one.
     KeptClear,
@@ -95,7 +95,7 @@
             (!self.runs_known, UnusableReason::Unheard),
             (self.silent, UnusableReason::Silent),
             (self.stale_capacity.is_some(), UnusableReason::RoomInDoubt),
-            (!self.contact.allows_starts(), UnusableReason::TakesNoOrders),
+            (!self.breaker.allows_starts(), UnusableReason::TakesNoOrders),
             (
                 self.spec.draining || self.evacuating,
                 UnusableReason::Leaving,
--- a/crates/sched/src/vms.rs
+++ b/crates/sched/src/vms.rs
@@ -28,12 +28,12 @@
     /// When the latest received list was requested.
     pub(crate) listed_at: Option<Millis>,
     asked_at: Option<Millis>,
-    /// No orders about VMs are sent before this time, so that those of a predecessor are settled by then.
+    /// No orders about VMs are sent before this time, when those of a predecessor are no longer recent.
     pub(crate) orders_allowed_from: Millis,
 }
 
 impl VmInventory {
-    /// Returns whether the list is recent enough to act on, and orders of a predecessor are settled.
+    /// Returns whether the list is recent enough to act on, and no orders of a predecessor are recent.
     pub(crate) fn can_order(&self, now: Millis) -> bool {
         let listed_at = self.listed_at;
         let is_fresh = listed_at.is_some_and(|at| now.since(at) < LIST_TIMEOUT_MS);
@@ -171,7 +171,7 @@
         for worker in self.workers.values() {
             // The last report of a silent worker may be as old as its lease, and nobody is served there meanwhile.
             // Runs on a worker whose lease is being let lapse are about to end.
-            if worker.silent || worker.contact.withholds_lease {
+            if worker.silent || worker.breaker.withholds_lease {
                 continue;
             }
             let runs = worker.runs_of(step);
--- a/crates/sched/src/worker.rs
+++ b/crates/sched/src/worker.rs
@@ -276,7 +276,7 @@
     pub(crate) evacuating: bool,
     /// Controls the pace of the runs that fill unused processor time.
     pub(crate) pace: PaceControl,
-    pub(crate) contact: CircuitBreaker,
+    pub(crate) breaker: CircuitBreaker,
 }
 
 impl Worker {
@@ -308,7 +308,7 @@
             suspected_runs: 0,
             evacuating: false,
             pace: PaceControl::new(),
-            contact: CircuitBreaker::new(),
+            breaker: CircuitBreaker::new(),
         }
     }
 
@@ -324,7 +324,7 @@
             .runs
             .values()
             .filter(|run| run.phase == Phase::Starting);
-        let limit = usize::try_from(self.contact.max_unanswered_starts()).unwrap_or(usize::MAX);
+        let limit = usize::try_from(self.breaker.max_unanswered_starts()).unwrap_or(usize::MAX);
         starting.take(limit).count() < limit
     }
 
