--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -1,5 +1,5 @@
-//! Workers: fencing tokens, leases by a deadline on their own clock, numbered ends, stops that also
-//! forbid a later start, gangs that work only together.
+//! Model of the workers of a cell: fencing tokens, leases that expire by the worker's own clock, numbered end reports,
+//! stops that also prevent a later start of the same run, and gangs that only progress when all members run.
 
 mod crashes;
 mod ends;
@@ -22,35 +22,35 @@
 use syc_types::Millis;
 use syc_types::WorkerId;
 
-use crate::Judge;
+use crate::InvariantChecker;
 pub use crate::fleet::crashes::CrashPlan;
-use crate::sharing::FULL;
-use crate::sharing::SharingRun;
-use crate::sharing::TailModel;
-use crate::sharing::TailModels;
+use crate::interference::FULL_SPEED_PERCENT;
+use crate::interference::RunInterference;
+use crate::interference::TailLatencyModel;
+use crate::interference::TailLatencyModels;
 use crate::worker::LiveRun;
 use crate::worker::WorkerModel;
 use crate::worker::checkpoint_of;
 
-/// How a task goes, whatever is ordered.
+/// Predetermined behaviour of a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Plan {
-    /// Time that it takes.
+pub struct TaskPlan {
+    /// Work that the task needs, as time at full speed.
     pub work_ms: u64,
-    /// Its first runs that end as failed; a run that is stopped does not count.
+    /// Number of runs that fail before one succeeds. A run that is stopped does not count.
     pub failing_runs: u32,
 }
 
-/// What holds for all workers.
+/// Limits that apply to all workers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FleetLimits {
-    /// Longest lease; a longer one is shortened.
+    /// Longest lease. A longer one is shortened to this.
     pub lease_ms: u64,
-    /// Time that a stop takes; the run does no work in it, and keeps its room.
+    /// Duration of a stop. The run makes no progress during it, but keeps its resources.
     pub stop_ms: u64,
-    /// Time that a member of a gang waits for the others.
+    /// Time that a gang member waits for the other members before it ends.
     pub gang_wait_ms: u64,
-    /// Whether workers refuse what does not fit.
+    /// Whether workers refuse starts that exceed their capacity.
     pub admission_control: bool,
 }
 
@@ -65,42 +65,42 @@
     }
 }
 
-/// All workers, and how their tasks go.
+/// All workers and the planned behaviour of their tasks.
 #[derive(Debug, Clone, Default)]
 pub struct FleetModel {
-    /// Workers that are up.
+    /// Workers that are running.
     pub workers: BTreeMap<WorkerId, WorkerModel>,
-    /// Watches all of them.
-    pub judge: Judge,
-    /// What holds for all of them.
+    /// Checks the starts and ends on all workers.
+    pub checker: InvariantChecker,
+    /// Limits that apply to all workers.
     pub limits: FleetLimits,
-    plans: BTreeMap<TaskId, Plan>,
-    tails: TailModels,
+    plans: BTreeMap<TaskId, TaskPlan>,
+    tail_latencies: TailLatencyModels,
     failed_runs: BTreeMap<TaskId, u32>,
     crash_plans: BTreeMap<TaskId, CrashPlan>,
-    /// Starts so far of the tasks that take their workers down.
+    /// Number of starts of each task that crashes its workers.
     crash_starts: BTreeMap<TaskId, u32>,
-    /// Workers that were taken down and that nobody has asked for yet.
+    /// Workers that crashed since the last call of [`FleetModel::take_crashed`].
     crashed: Vec<WorkerId>,
     advanced_to: Millis,
 }
 
 impl FleetModel {
-    /// Returns the number of tasks that run on a worker.
+    /// Returns the number of runs on a worker.
     #[must_use]
     pub fn runs_on(&self, id: &WorkerId) -> usize {
         let worker = self.workers.get(id);
         worker.map_or(0, |worker| worker.runs.len())
     }
 
-    /// Says how a task goes.
-    pub fn plan(&mut self, task: TaskId, plan: Plan) {
+    /// Sets the behaviour of a task.
+    pub fn plan_task(&mut self, task: TaskId, plan: TaskPlan) {
         self.plans.insert(task, plan);
     }
 
-    /// Says how long the users of an image wait.
-    pub fn set_tail(&mut self, image: &str, tail: TailModel) {
-        self.tails.insert(SmolStr::new(image), tail);
+    /// Sets the tail latency of an image.
+    pub fn set_tail_latency(&mut self, image: &str, tail: TailLatencyModel) {
+        self.tail_latencies.insert(SmolStr::new(image), tail);
     }
 
     /// Adds a worker.
@@ -108,7 +108,7 @@
         self.workers.insert(worker.id.clone(), worker);
     }
 
-    /// Takes a worker down by an order about its VM.
+    /// Takes a worker down because of an operation on its VM.
     pub fn interrupt(&mut self, id: &WorkerId, now: Millis) {
         self.advance(now);
         let Some(worker) = self.workers.get(id) else {
@@ -118,55 +118,55 @@
         let mut gone: BTreeMap<StepId, u32> = BTreeMap::new();
         for task in tasks {
             let before = gone.entry(task.step).or_default();
-            if self.is_at_work(id, task) {
+            if self.is_in_service(id, task) {
                 *before += 1;
-                let others = self.at_work(task.step).saturating_sub(*before);
-                self.judge.interrupted(task, others);
+                let others = self.in_service_count(task.step).saturating_sub(*before);
+                self.checker.interrupted(task, others);
             }
         }
         self.crash(id);
     }
 
-    fn is_at_work(&self, id: &WorkerId, task: TaskId) -> bool {
+    fn is_in_service(&self, id: &WorkerId, task: TaskId) -> bool {
         let worker = self.workers.get(id);
         let live = worker.and_then(|worker| worker.runs.get(&task));
-        live.is_some_and(|live| live.lasts && live.percent() == 100)
+        live.is_some_and(|live| live.long_running && live.percent() == 100)
     }
 
-    /// Counts the tasks of a step that last and are at work.
-    fn at_work(&self, step: StepId) -> u32 {
+    /// Counts the long-running tasks of a step that are in service.
+    fn in_service_count(&self, step: StepId) -> u32 {
         let mut count = 0;
         for worker in self.workers.values() {
             for (task, live) in &worker.runs {
-                count += u32::from(task.step == step && live.lasts && live.percent() == 100);
+                count += u32::from(task.step == step && live.long_running && live.percent() == 100);
             }
         }
         count
     }
 
-    /// Takes a worker down: everything on it ends at once, without a report.
+    /// Crashes a worker. All its runs end at once, without a report.
     pub fn crash(&mut self, id: &WorkerId) {
         let Some(worker) = self.workers.remove(id) else {
             return;
         };
         for (task, live) in &worker.runs {
-            self.judge.crashed(id, *task, live.run);
+            self.checker.crashed(id, *task, live.run);
         }
     }
 
-    /// Returns how a task goes: the members of a gang all go as the first one.
-    fn plan_of(&self, task: TaskId, step: Option<&StepSpec>) -> Option<Plan> {
+    /// Returns the plan of a task. All members of a gang follow the plan of the first one.
+    fn plan_for(&self, task: TaskId, step: Option<&StepSpec>) -> Option<TaskPlan> {
         let gang = step.is_some_and(|step| step.gang);
         let index = if gang { 0 } else { task.index };
         let planned = TaskId { index, ..task };
         self.plans.get(&planned).copied()
     }
 
-    /// Carries a start order out, or refuses it.
+    /// Executes a start command.
     ///
     /// # Errors
     ///
-    /// Fails as a worker refuses.
+    /// Returns an error if the worker refuses the command.
     pub fn start(
         &mut self,
         id: &WorkerId,
@@ -174,8 +174,8 @@
         now: Millis,
     ) -> Result<(), OrderError> {
         self.advance(now);
-        let step = self.judge.step_of(command.task).cloned();
-        let plan = self.plan_of(command.task, step.as_ref());
+        let step = self.checker.step_of(command.task).cloned();
+        let plan = self.plan_for(command.task, step.as_ref());
         let worker = self.workers.get_mut(id).ok_or(OrderError::Replaced)?;
         worker.check_token(command.token)?;
         if command.lease_until_ms <= worker.clock_ms(now) {
@@ -183,15 +183,15 @@
         }
         worker.extend_lease(command.lease_until_ms, self.limits.lease_ms, now);
         let known = worker.runs.get(&command.task);
-        if known.is_some_and(|live| live.run == command.run && live.stops_at.is_none()) {
+        if known.is_some_and(|live| live.run == command.run && live.stop_done_at.is_none()) {
             return Ok(());
         }
-        let latest = worker.latest.get(&command.task);
+        let latest = worker.latest_runs.get(&command.task);
         if latest.is_some_and(|latest| command.run <= *latest) || known.is_some() {
             return Err(OrderError::Refused(StartRefusal::OldRun));
         }
         let (Some(step), Some(plan)) = (step, plan) else {
-            self.judge.started(id, command.task, command.run);
+            self.checker.started(id, command.task, command.run);
             return Ok(());
         };
         let wanted = worker.used().saturating_add(&step.reserved_resources());
@@ -200,35 +200,35 @@
         }
         let crashes_at = self.next_crash(command.task, now);
         let worker = self.workers.get_mut(id).ok_or(OrderError::Replaced)?;
-        let done_ms = command.checkpoint.parse().unwrap_or(0);
+        let work_done_ms = command.checkpoint.parse().unwrap_or(0);
         worker.runs.insert(
             command.task,
             LiveRun {
                 run: command.run,
                 resources: step.reserved_resources(),
                 gang: step.gang,
-                lasts: step.long_running,
-                began_at: now,
-                stops_at: None,
-                done_ms,
+                long_running: step.long_running,
+                started_at: now,
+                stop_done_at: None,
+                work_done_ms,
                 plan,
-                saves: step.checkpointed,
-                sharing: SharingRun::of_step(&step),
+                checkpointed: step.checkpointed,
+                interference: RunInterference::of_step(&step),
                 crashes_at,
             },
         );
-        self.judge.started(id, command.task, command.run);
+        self.checker.started(id, command.task, command.run);
         let used = worker.used();
-        let capacity = worker.capacity_that_counts(now);
-        self.judge.check_room(id, &used, &capacity);
+        let capacity = worker.effective_capacity(now);
+        self.checker.check_capacity(id, &used, &capacity);
         Ok(())
     }
 
-    /// Carries a stop order out.
+    /// Executes a stop command.
     ///
     /// # Errors
     ///
-    /// Fails as a worker refuses.
+    /// Returns an error if the worker refuses the command.
     pub fn stop(
         &mut self,
         id: &WorkerId,
@@ -236,30 +236,31 @@
         now: Millis,
     ) -> Result<(), OrderError> {
         self.advance(now);
-        let is_at_work = self.is_at_work(id, command.task);
-        let others = self.at_work(command.task.step).saturating_sub(1);
+        let is_in_service = self.is_in_service(id, command.task);
+        let others = self.in_service_count(command.task.step).saturating_sub(1);
         let worker = self.workers.get_mut(id).ok_or(OrderError::Replaced)?;
         worker.check_token(command.token)?;
         let live = worker.runs.get_mut(&command.task);
         if let Some(live) = live.filter(|live| live.run == command.run) {
-            if is_at_work && live.stops_at.is_none() {
-                self.judge.interrupted(command.task, others);
+            if is_in_service && live.stop_done_at.is_none() {
+                self.checker.interrupted(command.task, others);
             }
-            live.stops_at.get_or_insert(now.plus(self.limits.stop_ms));
+            live.stop_done_at
+                .get_or_insert(now.plus(self.limits.stop_ms));
             self.end_stopped(now);
             return Ok(());
         }
-        // A run that is not there yet must never begin.
-        let latest = worker.latest.entry(command.task).or_default();
+        // The stop may arrive before the start of the same run, which must then be refused.
+        let latest = worker.latest_runs.entry(command.task).or_default();
         *latest = (*latest).max(command.run);
         Ok(())
     }
 
-    /// Lets a run work at a share of its speed.
+    /// Limits a run to a percentage of its full speed.
     ///
     /// # Errors
     ///
-    /// Fails as a worker refuses.
+    /// Returns an error if the worker refuses the command.
     pub fn pace(
         &mut self,
         id: &WorkerId,
@@ -273,15 +274,15 @@
         let Some(live) = live.filter(|live| live.run == command.run) else {
             return Err(OrderError::Refused(StartRefusal::OldRun));
         };
-        live.sharing.pace_percent = command.percent;
+        live.interference.pace_percent = command.percent;
         Ok(())
     }
 
-    /// Renews the leases of a worker and returns its lists.
+    /// Renews the lease of a worker and returns its current runs and unacknowledged ends.
     ///
     /// # Errors
     ///
-    /// Fails as a worker refuses.
+    /// Returns an error if the worker refuses the command.
     pub fn renew(
         &mut self,
         id: &WorkerId,
@@ -296,8 +297,8 @@
         }
         for ended in &worker.ends {
             if ended.number <= renewal.acknowledged {
-                let void = ended.number <= worker.void_ends;
-                self.judge.acknowledged(id, ended, void);
+                let void = ended.number <= worker.last_void_end;
+                self.checker.acknowledged(id, ended, void);
             }
         }
         worker
@@ -307,14 +308,16 @@
             ended: worker.ends.clone(),
             ..WorkerReport::default()
         };
-        let disturbs_cpu_millis = worker.disturbs_cpu_millis();
+        let interfering_cpu_millis = worker.interfering_cpu_millis();
         for (task, live) in &worker.runs {
             report.running.push(RunningReport {
                 task: *task,
                 run: live.run,
                 checkpoint: checkpoint_of(live),
                 percent: live.percent(),
-                load: live.sharing.tail_ms(&self.tails, disturbs_cpu_millis),
+                load: live
+                    .interference
+                    .tail_latency_ms(&self.tail_latencies, interfering_cpu_millis),
             });
         }
         Ok(RenewalReply {
@@ -325,43 +328,45 @@
         })
     }
 
-    /// Lets the time pass: work is done, runs end, leases lapse.
+    /// Advances the model to `now`: runs make progress and end, and leases expire.
     pub fn advance(&mut self, now: Millis) {
         let passed_ms = now.since(self.advanced_to);
         if passed_ms == 0 {
             return;
         }
         self.advanced_to = now;
-        self.crash_due(now);
-        self.lapse(now);
+        self.crash_due_workers(now);
+        self.expire_leases(now);
         self.end_stopped(now);
-        self.end_lonely(now);
-        let whole = self.whole_gangs();
-        let mut over = Vec::new();
+        self.end_incomplete_gangs(now);
+        let complete = self.complete_gangs();
+        let mut finished = Vec::new();
         for worker in self.workers.values_mut() {
-            let disturbs_cpu_millis = worker.disturbs_cpu_millis();
+            let interfering_cpu_millis = worker.interfering_cpu_millis();
             for (task, live) in &mut worker.runs {
-                if live
-                    .sharing
-                    .is_harmed(&self.tails, disturbs_cpu_millis, now)
-                {
-                    self.judge.harmed(*task);
+                if live.interference.exceeds_tail_limit(
+                    &self.tail_latencies,
+                    interfering_cpu_millis,
+                    now,
+                ) {
+                    self.checker.tail_latency_exceeded(*task);
                 }
-                let waits = live.gang && !whole.contains(&(task.step, live.run));
-                if waits || live.stops_at.is_some() {
+                let waits = live.gang && !complete.contains(&(task.step, live.run));
+                if waits || live.stop_done_at.is_some() {
                     continue;
                 }
-                let worked_ms = passed_ms.min(now.since(live.began_at));
-                live.done_ms += worked_ms * u64::from(live.sharing.pace_percent) / u64::from(FULL);
-                // The first member's plan is that of the whole gang.
+                let worked_ms = passed_ms.min(now.since(live.started_at));
+                live.work_done_ms += worked_ms * u64::from(live.interference.pace_percent)
+                    / u64::from(FULL_SPEED_PERCENT);
+                // The first member's progress decides when the gang completes.
                 let decides = !live.gang || task.index == 0;
-                if decides && live.done_ms >= live.plan.work_ms {
-                    over.push((worker.id.clone(), *task, live.run, live.gang));
+                if decides && live.work_done_ms >= live.plan.work_ms {
+                    finished.push((worker.id.clone(), *task, live.run, live.gang));
                 }
             }
         }
-        for (id, task, run, gang) in over {
-            self.finish(&id, task, run, gang, now);
+        for (id, task, run, gang) in finished {
+            self.finish_run(&id, task, run, gang, now);
         }
     }
 }
--- a/crates/fleet/src/core_model.rs
+++ b/crates/fleet/src/harness.rs
@@ -1,4 +1,4 @@
-//! The decision core, given what was read of others: whatever a reader lets through, it has to bear.
+//! Test harness that feeds parsed input to the scheduler, which must handle everything that the parsers accept.
 
 use syc_sched::Action;
 use syc_sched::Event;
@@ -19,19 +19,19 @@
 use syc_types::WorkerId;
 use syc_types::Zone;
 
-/// Times after the first at which time is all that passes.
+/// Times of the ticks in [`SchedulerHarness::run_ticks`], relative to its start.
 const TICKS_MS: [u64; 5] = [100, 1_000, 10_000, 100_000, 10_000_000];
 
-/// A scheduler with one sound worker.
+/// A scheduler with one valid worker.
 #[derive(Debug)]
-pub struct Core {
+pub struct SchedulerHarness {
     scheduler: Scheduler,
     worker: Option<WorkerKey>,
     now: Millis,
 }
 
-impl Core {
-    /// Makes one whose takeover has begun, with a job of a predecessor where there is one.
+impl SchedulerHarness {
+    /// Creates a scheduler that has begun its takeover, with an optional job inherited from its predecessor.
     #[must_use]
     pub fn start(inherited: Option<(JobSpec, Option<JobProgress>)>) -> Self {
         let mut core = Self {
@@ -43,13 +43,13 @@
             let progress = progress.as_ref();
             core.scheduler.restore_job(spec, progress, 0, core.now);
         }
-        core.handle(Event::WorkerListed(sound_worker()));
+        core.handle(Event::WorkerListed(valid_worker()));
         core.scheduler.begin_recovery(core.now);
-        core.take_report(WorkerReport::default());
+        core.report(WorkerReport::default());
         core
     }
 
-    /// Takes an event, and remembers the worker that it is told of first.
+    /// Passes an event to the scheduler and keeps the key of the first worker that the scheduler attaches.
     pub fn handle(&mut self, event: Event) {
         let actions = self.scheduler.handle(event, self.now);
         for action in actions {
@@ -59,14 +59,14 @@
         }
     }
 
-    /// Takes a job.
-    pub fn take_job(&mut self, spec: JobSpec) {
+    /// Adds a stored job.
+    pub fn add_job(&mut self, spec: JobSpec) {
         let spec = Box::new(spec);
         self.handle(Event::JobStored { spec, age_ms: 0 });
     }
 
-    /// Takes what the sound worker lists.
-    pub fn take_report(&mut self, report: WorkerReport) {
+    /// Delivers a report of the valid worker.
+    pub fn report(&mut self, report: WorkerReport) {
         let Some(worker) = self.worker else {
             return;
         };
@@ -80,20 +80,20 @@
         });
     }
 
-    /// Takes the list of VMs.
-    pub fn take_vms(&mut self, vms: Vec<VmInfo>) {
+    /// Delivers a list of VMs.
+    pub fn list_vms(&mut self, vms: Vec<VmInfo>) {
         let asked_at = self.now;
         let vms = Some(vms);
         self.handle(Event::VmsListed { asked_at, vms });
     }
 
-    /// Takes a wave of upkeep.
-    pub fn take_wave(&mut self, wave: Wave) {
+    /// Delivers a published maintenance wave.
+    pub fn publish_wave(&mut self, wave: Wave) {
         self.handle(Event::WavePublished { wave, age_ms: 0 });
     }
 
-    /// Lets it decide, and lets time pass.
-    pub fn settle(&mut self) {
+    /// Runs the scheduler at each tick, without any events in between.
+    pub fn run_ticks(&mut self) {
         let began = self.now;
         for after_ms in TICKS_MS {
             let _actions = self.scheduler.schedule(self.now);
@@ -105,8 +105,8 @@
     }
 }
 
-/// A worker of eight cores.
-fn sound_worker() -> WorkerSpec {
+/// Returns a worker with eight cores.
+fn valid_worker() -> WorkerSpec {
     WorkerSpec {
         id: WorkerId::new("sound"),
         service: ServiceName::new("s"),
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,42 +1,42 @@
-//! Stand-ins for what a cell stands on: the store, the workers, the advice service.
+//! In-memory models of the services that a cell depends on: the store, the workers and the advice service.
 //!
-//! [`StoreModel`] and [`FleetModel`] are plain state with an explicit time, so that generated
-//! schedules play them in virtual time. [`SharedPlatform`] puts them behind the ports of a node, so
-//! that whole nodes run on them in one process. Nothing in them is random: whoever drives them
-//! decides which answer is lost, which order late, which worker gone.
+//! [`StoreModel`] and [`FleetModel`] are plain state machines that take the current time as a parameter, so that
+//! generated schedules can run them in virtual time. [`SharedPlatform`] implements the ports of a node on top of
+//! them, so that complete nodes run in one process. The models are deterministic: the test decides which replies
+//! are lost, which commands are delayed and which workers crash.
 
 mod advice;
-mod core_model;
+mod append_queues;
+mod checker;
 mod events;
 mod fleet;
 pub mod fuzz;
-mod judge;
+mod harness;
+mod interference;
 mod load;
-mod odd;
-mod rows;
+mod mutate;
 mod shared;
-mod sharing;
 mod store;
 mod vms;
 mod worker;
 
 pub use advice::AdviceModel;
-pub use core_model::Core;
+pub use append_queues::AppendQueues;
+pub use append_queues::QueuedAppend;
+pub use checker::InvariantChecker;
+pub use checker::Violation;
 pub use events::RunEvent;
 pub use fleet::CrashPlan;
 pub use fleet::FleetLimits;
 pub use fleet::FleetModel;
-pub use fleet::Plan;
-pub use judge::Fault;
-pub use judge::Judge;
-pub use load::DrawnJob;
-pub use load::RequestKind;
-pub use load::Spread;
-pub use rows::RowAnswer;
-pub use rows::StoreRows;
+pub use fleet::TaskPlan;
+pub use harness::SchedulerHarness;
+pub use interference::TailLatencyModel;
+pub use load::GeneratedJob;
+pub use load::JobKind;
+pub use load::LogNormal;
 pub use shared::SharedFaults;
 pub use shared::SharedPlatform;
-pub use sharing::TailModel;
 pub use store::StoreModel;
 pub use vms::VmsModel;
 pub use worker::WorkerModel;
--- a/crates/fleet/src/shared.rs
+++ b/crates/fleet/src/shared.rs
@@ -1,4 +1,4 @@
-//! The models behind the ports of nodes that run in one process.
+//! Platform for several nodes in one process, which share the models.
 
 mod calls;
 mod faults;
@@ -26,34 +26,34 @@
 use crate::StoreModel;
 use crate::VmsModel;
 
-/// Time that an upkeep or a move of a VM takes.
-const VM_ORDER_MS: u64 = 200;
+/// Duration of maintenance or of a move of a VM.
+const VM_OPERATION_MS: u64 = 200;
 
 #[derive(Debug)]
 struct State {
     store: StoreModel,
     fleet: FleetModel,
     vms: VmsModel,
-    /// Workers that have started on VMs.
-    lives: u64,
+    /// Number of workers that have started on VMs.
+    worker_starts: u64,
     specs: HashMap<SmolStr, WorkerSpec>,
     configurations: HashMap<SmolStr, Configuration>,
     faults: SharedFaults,
     advice_calls: u64,
-    /// Reads of all keys of a partition: those that were answered, and those that were refused.
-    whole_reads: HashMap<(Topic, u32), u64>,
-    refused_reads: u64,
-    /// Answers with an odd clock that were given.
-    odd_clocks_read: u64,
-    /// Start orders under way at each worker, and the most that were at any.
-    orders: HashMap<WorkerId, usize>,
-    most_orders: usize,
-    /// Renewals that were sent to each worker.
+    /// Number of answered reads of a full partition, by topic and partition.
+    full_reads: HashMap<(Topic, u32), u64>,
+    refused_full_reads: u64,
+    /// Number of replies that contained a corrupt clock.
+    corrupt_clocks_returned: u64,
+    /// Number of start commands in flight to each worker.
+    starts_in_flight: HashMap<WorkerId, usize>,
+    max_starts_in_flight: usize,
+    /// Number of renewals sent to each worker.
     renewals: HashMap<WorkerId, u64>,
 }
 
 impl State {
-    /// Writes a record to the first partition of a topic; without a condition, nothing can be refused.
+    /// Appends a record to the first partition of a topic. An append without a condition cannot fail.
     fn put(&mut self, topic: Topic, record: Record) {
         let _appended = self.store.append(topic, 0, &[record], &Condition::None);
     }
@@ -64,23 +64,23 @@
         Self {
             store: StoreModel::default(),
             fleet: FleetModel::default(),
-            vms: VmsModel::new(VM_ORDER_MS),
-            lives: 0,
+            vms: VmsModel::new(VM_OPERATION_MS),
+            worker_starts: 0,
             specs: HashMap::new(),
             configurations: HashMap::new(),
             faults: SharedFaults::default(),
             advice_calls: 0,
-            whole_reads: HashMap::new(),
-            refused_reads: 0,
-            odd_clocks_read: 0,
-            orders: HashMap::new(),
-            most_orders: 0,
+            full_reads: HashMap::new(),
+            refused_full_reads: 0,
+            corrupt_clocks_returned: 0,
+            starts_in_flight: HashMap::new(),
+            max_starts_in_flight: 0,
             renewals: HashMap::new(),
         }
     }
 }
 
-/// The platform of one node; all nodes share what is behind it.
+/// Platform of one node. All nodes share the same models.
 #[derive(Debug, Clone)]
 pub struct SharedPlatform {
     node: SmolStr,
@@ -88,7 +88,7 @@
 }
 
 impl SharedPlatform {
-    /// Makes a platform with nothing in it.
+    /// Creates an empty platform.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Returns the same platform as another node sees it.
+    /// Returns a handle to the same platform for another node.
     #[must_use]
     pub fn for_node(&self, node: &str) -> Self {
         Self {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Returns the number of renewals that a worker was sent.
+    /// Returns the number of renewals sent to a worker.
     #[must_use]
     pub fn renewals_of(&self, id: &WorkerId) -> u64 {
         self.lock().renewals.get(id).copied().unwrap_or(0)
@@ -126,8 +126,8 @@
         state.put(Topic::Workers, record);
     }
 
-    /// Another writer puts something that can't be read in the place of a worker's entry.
-    pub fn spoil_entry(&self, key: &str) {
+    /// Overwrites a worker's entry with a value that cannot be parsed, as another writer might.
+    pub fn corrupt_worker_entry(&self, key: &str) {
         let mut state = self.lock();
         state.specs.remove(key);
         let record = Record {
@@ -137,7 +137,7 @@
         state.put(Topic::Workers, record);
     }
 
-    /// Removes a worker from the list; it goes on running what it runs.
+    /// Removes a worker's entry from the store. Its runs continue.
     pub fn unlist(&self, worker: &WorkerId) {
         let record = Record {
             key: SmolStr::new(worker.as_str()),
@@ -158,56 +158,56 @@
         state.put(Topic::Operators, record);
     }
 
-    /// Changes what goes wrong from now on.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: SharedFaults) {
         self.lock().faults = faults;
     }
 
-    /// Looks at the workers, or changes them.
-    pub fn with_fleet<T, F>(&self, look: F) -> T
+    /// Calls `f` with the workers, advanced to the current time.
+    pub fn with_fleet<T, F>(&self, f: F) -> T
     where
         F: FnOnce(&mut FleetModel) -> T,
     {
         let mut state = self.lock();
         state.fleet.advance(now());
-        look(&mut state.fleet)
+        f(&mut state.fleet)
     }
 
-    /// Looks at the store, or changes it.
-    pub fn with_store<T, F>(&self, look: F) -> T
+    /// Calls `f` with the store.
+    pub fn with_store<T, F>(&self, f: F) -> T
     where
         F: FnOnce(&mut StoreModel) -> T,
     {
-        look(&mut self.lock().store)
+        f(&mut self.lock().store)
     }
 
-    /// Returns the most start orders that were under way at one worker.
+    /// Returns the largest number of start commands that were in flight to one worker.
     #[must_use]
-    pub fn most_orders(&self) -> usize {
-        self.lock().most_orders
+    pub fn max_starts_in_flight(&self) -> usize {
+        self.lock().max_starts_in_flight
     }
 
-    /// Returns how often all keys of a partition were read.
+    /// Returns the number of answered reads of a full partition.
     #[must_use]
-    pub fn whole_reads(&self, topic: Topic, partition: u32) -> u64 {
+    pub fn full_reads(&self, topic: Topic, partition: u32) -> u64 {
         let state = self.lock();
-        let reads = state.whole_reads.get(&(topic, partition));
+        let reads = state.full_reads.get(&(topic, partition));
         reads.copied().unwrap_or(0)
     }
 
-    /// Returns how often a read of all keys of a partition was refused.
+    /// Returns the number of refused reads of a full partition.
     #[must_use]
-    pub fn refused_reads(&self) -> u64 {
-        self.lock().refused_reads
+    pub fn refused_full_reads(&self) -> u64 {
+        self.lock().refused_full_reads
     }
 
-    /// Returns how often a worker's odd clock was told.
+    /// Returns the number of replies that contained a corrupt clock.
     #[must_use]
-    pub fn odd_clocks_read(&self) -> u64 {
-        self.lock().odd_clocks_read
+    pub fn corrupt_clocks_returned(&self) -> u64 {
+        self.lock().corrupt_clocks_returned
     }
 
-    /// Returns the number of calls for advice so far.
+    /// Returns the number of advice calls so far.
     #[must_use]
     pub fn advice_calls(&self) -> u64 {
         self.lock().advice_calls
--- a/crates/fleet/src/shared/ports.rs
+++ b/crates/fleet/src/shared/ports.rs
@@ -1,4 +1,4 @@
-//! The ports of a node, over the models.
+//! Implementations of the ports of a node on top of the models.
 
 use smol_str::SmolStr;
 use smol_str::format_smolstr;
@@ -41,11 +41,11 @@
 use super::calls::CALL_MS;
 use super::vms::WAVE_PREFIX;
 
-/// A waiting call looks this often whether there is news.
-const LOOK_MS: u64 = 2;
+/// Interval at which a long poll checks for changes.
+const POLL_INTERVAL_MS: u64 = 2;
 
-/// Time for which tickets are valid.
-const TICKET_MS: u64 = 2_000;
+/// Validity of tickets from the advice service.
+const ADVICE_VALIDITY_MS: u64 = 2_000;
 
 impl Store for SharedPlatform {
     async fn append(
@@ -56,10 +56,17 @@
         condition: &Condition,
     ) -> Result<Appended, AppendError> {
         if self.reach_store().await {
-            return Err(AppendError::Refused(SmolStr::new_static("turned away")));
+            return Err(AppendError::Refused(SmolStr::new_static("refused")));
         }
-        if self.lock().faults.down.contains(&(topic, partition)) {
-            return Err(AppendError::Refused(SmolStr::new_static("down")));
+        if self
+            .lock()
+            .faults
+            .unavailable_partitions
+            .contains(&(topic, partition))
+        {
+            return Err(AppendError::Refused(SmolStr::new_static(
+                "partition unavailable",
+            )));
         }
         let (appended, lost) = {
             let mut state = self.lock();
@@ -88,35 +95,48 @@
         wait_ms: u64,
     ) -> Result<Page, ReadError> {
         if self.reach_store().await {
-            return Err(ReadError::Unavailable(SmolStr::new_static("turned away")));
+            return Err(ReadError::Unavailable(SmolStr::new_static("refused")));
         }
         let until = now().plus(wait_ms);
         loop {
-            if self.lock().faults.down.contains(&(topic, partition)) {
-                return Err(ReadError::Unavailable(SmolStr::new_static("down")));
+            if self
+                .lock()
+                .faults
+                .unavailable_partitions
+                .contains(&(topic, partition))
+            {
+                return Err(ReadError::Unavailable(SmolStr::new_static(
+                    "partition unavailable",
+                )));
             }
             let page = self.lock().store.read(topic, partition, from)?;
             if !page.records.is_empty() || now() >= until {
-                self.hold_back(topic).await;
+                self.delay_read(topic).await;
                 return Ok(page);
             }
-            pause(LOOK_MS).await;
+            pause(POLL_INTERVAL_MS).await;
         }
     }
 
     async fn newest(&self, topic: Topic, partition: u32) -> Result<Newest, ReadError> {
         if self.reach_store().await {
-            return Err(ReadError::Unavailable(SmolStr::new_static("turned away")));
+            return Err(ReadError::Unavailable(SmolStr::new_static("refused")));
         }
-        if self.take_silent_read() {
+        if self.take_unanswered_read() {
             std::future::pending::<()>().await;
         }
         let mut state = self.lock();
-        if state.faults.down.contains(&(topic, partition)) {
-            state.refused_reads += 1;
-            return Err(ReadError::Unavailable(SmolStr::new_static("down")));
+        if state
+            .faults
+            .unavailable_partitions
+            .contains(&(topic, partition))
+        {
+            state.refused_full_reads += 1;
+            return Err(ReadError::Unavailable(SmolStr::new_static(
+                "partition unavailable",
+            )));
         }
-        *state.whole_reads.entry((topic, partition)).or_default() += 1;
+        *state.full_reads.entry((topic, partition)).or_default() += 1;
         Ok(state.store.newest(topic, partition))
     }
 }
@@ -128,13 +148,13 @@
         command: &StartCommand,
         timeout_ms: u64,
     ) -> Result<(), OrderError> {
-        if self.take_busy_start() {
+        if self.take_start_without_connection() {
             let busy = SmolStr::new_static("no connection is free");
             return Err(OrderError::NoConnection(busy));
         }
-        self.begin_order(&worker.id);
-        let reached = self.reach_with_order(&worker.id, timeout_ms).await;
-        self.end_order(&worker.id);
+        self.begin_start(&worker.id);
+        let reached = self.reach_worker_with_order(&worker.id, timeout_ms).await;
+        self.end_start(&worker.id);
         reached?;
         let (started, lost) = {
             let mut state = self.lock();
@@ -144,9 +164,9 @@
         };
         if lost {
             pause(timeout_ms).await;
-            return Err(OrderError::InDoubt(SmolStr::new_static("lost")));
+            return Err(OrderError::InDoubt(SmolStr::new_static("reply lost")));
         }
-        self.await_answer(CALL_MS, timeout_ms).await?;
+        self.await_reply(CALL_MS, timeout_ms).await?;
         started
     }
 
@@ -156,9 +176,9 @@
         command: &StopCommand,
         timeout_ms: u64,
     ) -> Result<(), OrderError> {
-        self.reach_with_order(&worker.id, timeout_ms).await?;
+        self.reach_worker_with_order(&worker.id, timeout_ms).await?;
         let stopped = self.lock().fleet.stop(&worker.id, command, now());
-        self.await_answer(CALL_MS, timeout_ms).await?;
+        self.await_reply(CALL_MS, timeout_ms).await?;
         stopped
     }
 
@@ -168,9 +188,9 @@
         command: &PaceCommand,
         timeout_ms: u64,
     ) -> Result<(), OrderError> {
-        self.reach_with_order(&worker.id, timeout_ms).await?;
+        self.reach_worker_with_order(&worker.id, timeout_ms).await?;
         let paced = self.lock().fleet.pace(&worker.id, command, now());
-        self.await_answer(CALL_MS, timeout_ms).await?;
+        self.await_reply(CALL_MS, timeout_ms).await?;
         paced
     }
 
@@ -188,10 +208,10 @@
             let renewed = self.lock().fleet.renew(&worker.id, renewal, now())?;
             if !renewed.report.ended.is_empty() || now() >= until {
                 let spent_ms = now().since(began);
-                self.await_answer(spent_ms, timeout_ms).await?;
-                return Ok(self.spoil_clock(&worker.id, renewed));
+                self.await_reply(spent_ms, timeout_ms).await?;
+                return Ok(self.corrupt_clock(&worker.id, renewed));
             }
-            pause(LOOK_MS).await;
+            pause(POLL_INTERVAL_MS).await;
         }
     }
 }
@@ -210,7 +230,7 @@
             .map(|worker| (worker.clone(), format_smolstr!("{step}@{worker}")));
         Ok(Advice {
             allowed: allowed.collect(),
-            validity_ms: TICKET_MS,
+            validity_ms: ADVICE_VALIDITY_MS,
             ..Advice::default()
         })
     }
@@ -248,9 +268,9 @@
 impl VmPort for SharedPlatform {
     async fn list_vms(&self, from: Option<&str>, _timeout_ms: u64) -> Result<VmPage, ListVmsError> {
         pause(CALL_MS).await;
-        self.bring_vms_back();
+        self.restore_vms();
         let listed = self.lock().vms.list();
-        // In two parts, so that both are asked for.
+        // Splits the list into two pages to exercise pagination.
         let (first, rest) = listed.split_at(listed.len() / 2);
         Ok(match from {
             None => VmPage {
--- a/crates/fleet/src/shared/vms.rs
+++ b/crates/fleet/src/shared/vms.rs
@@ -1,4 +1,4 @@
-//! VMs, the workers on them, and waves of upkeep.
+//! VMs, the workers on them, and maintenance waves.
 
 use smol_str::SmolStr;
 use smol_str::format_smolstr;
@@ -17,11 +17,11 @@
 use super::SharedPlatform;
 use crate::VmsModel;
 
-/// What the keys of records about waves of upkeep begin with.
+/// Key prefix of the records of maintenance waves.
 pub(super) const WAVE_PREFIX: &str = "wave/";
 
 impl SharedPlatform {
-    /// Adds a VM with a worker on it, which the pool's service registers.
+    /// Adds a VM and registers a worker on it for the service of the pool.
     pub fn add_vm(&self, id: &VmId, pool: &ServiceName, capacity: Resources) {
         let mut state = self.lock();
         state.vms.add(id.clone(), pool.clone(), capacity);
@@ -29,18 +29,18 @@
         self.start_worker(id, pool);
     }
 
-    /// Adds a VM that is off until it is moved to another pool.
+    /// Adds a VM that is powered off until it is moved to another pool.
     pub fn add_standby_vm(&self, id: &VmId, pool: &ServiceName, capacity: Resources) {
         let mut state = self.lock();
         state.vms.add(id.clone(), pool.clone(), capacity);
-        state.vms.keep_off(pool.clone());
+        state.vms.power_off_pool(pool.clone());
     }
 
     fn start_worker(&self, vm: &VmId, pool: &ServiceName) {
         let (id, capacity) = {
             let mut state = self.lock();
-            state.lives += 1;
-            let id = WorkerId::new(format!("{vm}-life-{}", state.lives));
+            state.worker_starts += 1;
+            let id = WorkerId::new(format!("{vm}-life-{}", state.worker_starts));
             state.vms.set_worker(vm, id.clone());
             (id, state.vms.capacity_of(vm))
         };
@@ -57,11 +57,11 @@
         });
     }
 
-    pub(super) fn bring_vms_back(&self) {
+    pub(super) fn restore_vms(&self) {
         let (back, gone) = {
             let mut state = self.lock();
             let back = state.vms.advance(now());
-            (back, state.vms.take_ended())
+            (back, state.vms.take_ended_workers())
         };
         for worker in gone {
             self.unlist(&worker);
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Publishes a wave of upkeep.
+    /// Publishes a maintenance wave.
     pub fn publish_wave(&self, wave: Wave) {
         let record = Record {
             key: format_smolstr!("{WAVE_PREFIX}{}", wave.number),
@@ -82,9 +82,9 @@
         state.put(Topic::Operators, record);
     }
 
-    /// Returns what operators were told last of a wave.
+    /// Returns the status of a wave that was last reported to operators.
     #[must_use]
-    pub fn wave_told(&self, wave: u64) -> Option<SmolStr> {
+    pub fn reported_wave_status(&self, wave: u64) -> Option<SmolStr> {
         let key = format_smolstr!("{WAVE_PREFIX}{wave}");
         let state = self.lock();
         let newest = state.store.newest(Topic::Status, 0);
@@ -95,11 +95,11 @@
         Some(SmolStr::from(String::from_utf8_lossy(&record.value)))
     }
 
-    /// Works on the VMs.
-    pub fn with_vms<F, T>(&self, work: F) -> T
+    /// Calls `f` with the VMs.
+    pub fn with_vms<F, T>(&self, f: F) -> T
     where
         F: FnOnce(&mut VmsModel) -> T,
     {
-        work(&mut self.lock().vms)
+        f(&mut self.lock().vms)
     }
 }
