--- a/crates/cell/src/adviser.rs
+++ b/crates/cell/src/advice_query.rs
@@ -19,7 +19,7 @@
 use crate::unreadable::Source;
 
 /// Handles an advice query of the scheduler.
-pub(crate) async fn handle_query<P>(node: &Rc<Node<P>>, query: AdviceQuery) -> CellBody
+pub(crate) async fn handle<P>(node: &Rc<Node<P>>, query: AdviceQuery) -> CellBody
 where
     P: Platform,
 {
--- a/crates/cell/src/claims.rs
+++ b/crates/cell/src/claims.rs
@@ -123,7 +123,7 @@
 
 impl ClaimLog {
     /// Returns whether no holder without the `proves` flag can still send orders.
-    fn predecessors_prove(&self) -> bool {
+    fn predecessors_require_proof(&self) -> bool {
         self.unproven_seen_at
             .is_none_or(|at| now().since(at) > UNPROVEN_HOLDER_MS)
     }
@@ -299,7 +299,7 @@
     }
     match own {
         Some(own) if node.leader().is_none() => {
-            Leader::start(node, own.token, claims.predecessors_prove());
+            Leader::start(node, own.token, claims.predecessors_require_proof());
         }
         Some(_) => {}
         None => log::holder_changed(claims.holder.as_ref()),
--- a/crates/cell/src/contact.rs
+++ b/crates/cell/src/contact.rs
@@ -17,7 +17,7 @@
 use syc_wire::cell::StoredNotice;
 
 use crate::Node;
-use crate::adviser;
+use crate::advice_query;
 use crate::clock::now;
 use crate::clock::pause;
 use crate::log;
@@ -245,7 +245,7 @@
         CellBody::Contact(contact) => CellBody::ContactReply(handle_contact(node, &contact)),
         CellBody::StateQuery(query) => queries::answer_state(node, &query),
         CellBody::PendingQuery(query) => queries::answer_pending(node, &query),
-        CellBody::AdviceQuery(query) => adviser::handle_query(node, query).await,
+        CellBody::AdviceQuery(query) => advice_query::handle(node, query).await,
         CellBody::StoredNotice(notice) => {
             let taken = record_stored_notice(node, notice);
             CellBody::NoticeReply(NoticeReply { taken })
@@ -297,7 +297,7 @@
     let store = node.store_view();
     let unanswered = !store.answers && store.answered_ms > STORE_UNREACHABLE_MS;
     let cut_off_from_store = contact.store_answers && unanswered;
-    let agreed = leader.as_ref().map(|leader| leader.agreed_day());
+    let agreed = leader.as_ref().map(|leader| leader.agreed_time());
     ContactReply {
         leading: leader.is_some() && !cut_off_from_store,
         token: leader.map_or(0, |leader| leader.token),
--- a/crates/cell/src/leader.rs
+++ b/crates/cell/src/leader.rs
@@ -136,7 +136,7 @@
     /// Whether the store has accepted a heartbeat of this scheduler.
     heartbeat_accepted: Cell<bool>,
     heartbeat_notify: Notify,
-    day: RefCell<ClockAgreement>,
+    clock_agreement: RefCell<ClockAgreement>,
     /// When at least half of the workers were last answering.
     workers_heard_at: Cell<Millis>,
     tasks: RefCell<Vec<actix_rt::task::JoinHandle<()>>>,
@@ -186,11 +186,11 @@
             authority: RefCell::new(Authority::new(options.authority_ms)),
             heartbeat_accepted: Cell::new(false),
             heartbeat_notify: Notify::new(),
-            day: RefCell::new(ClockAgreement::resume(node.reported_time.get())),
+            clock_agreement: RefCell::new(ClockAgreement::resume(node.reported_time.get())),
             workers_heard_at: Cell::new(now()),
             tasks: RefCell::default(),
         });
-        leader.update_day();
+        leader.update_agreed_time();
         node.partition.set(0);
         *node.leader.borrow_mut() = Some(Rc::clone(&leader));
         leader.spawn(heartbeat::send_heartbeats(Rc::clone(&leader)));
@@ -310,8 +310,8 @@
                 Action::ListVms { asked_at } => self.list_vms(asked_at),
                 Action::OrderVm { vm, operation } => self.order_vm(vm, operation),
                 Action::ReportWave { wave, completed } => self.queue_wave_status(wave, completed),
-                Action::DropSpec(id) => self.specs_to_remove.borrow_mut().push(id),
-                Action::Forget(id) => self.progress_to_remove.borrow_mut().push(id),
+                Action::DeleteSpec(id) => self.specs_to_remove.borrow_mut().push(id),
+                Action::DeleteJob(id) => self.progress_to_remove.borrow_mut().push(id),
                 Action::Note(note) => {
                     self.record_note_stages(&note);
                     log::note(&note);
@@ -375,7 +375,7 @@
         self.note_follower(contact);
         if let Some(day) = reported_anchor(now(), contact.day_ms) {
             let name = SmolStr::from(contact.node.as_str());
-            self.day.borrow_mut().report(name, day);
+            self.clock_agreement.borrow_mut().report(name, day);
         }
         1 + self
             .advice_nodes
@@ -384,13 +384,15 @@
     }
 
     /// Returns the agreed time of day, which decides when timed jobs are due.
-    pub(crate) fn agreed_day(&self) -> AgreedTime {
-        self.day.borrow_mut().update(self.node.read_wall_clock())
+    pub(crate) fn agreed_time(&self) -> AgreedTime {
+        self.clock_agreement
+            .borrow_mut()
+            .update(self.node.read_wall_clock())
     }
 
     /// Passes the agreed time of day to the scheduler.
-    pub(crate) fn update_day(&self) {
-        let agreed = self.agreed_day();
+    pub(crate) fn update_agreed_time(&self) {
+        let agreed = self.agreed_time();
         self.scheduler.borrow_mut().set_wall_clock(agreed.anchor);
     }
 
--- a/crates/cell/src/leader/advice.rs
+++ b/crates/cell/src/leader/advice.rs
@@ -17,7 +17,7 @@
 use syc_wire::cell::CellBody;
 use syc_wire::cell::Contact;
 
-use crate::adviser;
+use crate::advice_query;
 use crate::clock::now;
 use crate::contact;
 use crate::leader::Leader;
@@ -131,7 +131,7 @@
                     |error: syc_net::CallError| AdviceError(error.to_string().into());
                 reply
                     .map_err(to_advice_error)
-                    .and_then(adviser::decode_reply)
+                    .and_then(advice_query::decode_reply)
             }
         };
         let took_ms = now().since(sent_at);
--- a/crates/cell/src/leader/orders.rs
+++ b/crates/cell/src/leader/orders.rs
@@ -142,7 +142,7 @@
     fn handle_terminal_error(self: &Rc<Self>, worker: WorkerKey, error: &OrderError) -> bool {
         match error {
             OrderError::Replaced => self.apply(Event::Replaced { worker }),
-            OrderError::Reborn => self.apply(Event::Restarted { worker }),
+            OrderError::Restarted => self.apply(Event::Restarted { worker }),
             OrderError::Fenced => self.step_down("fenced_by_worker"),
             OrderError::Refused(_)
             | OrderError::NotSent(_)
@@ -202,7 +202,7 @@
             task: command.task,
             run: command.run,
             percent: command.percent,
-            taken: accepted,
+            accepted,
         });
     }
 
@@ -253,7 +253,7 @@
             worker,
             task: command.task,
             run: command.run,
-            taken: accepted,
+            accepted,
         });
     }
 }
--- a/crates/cell/src/leader/sessions.rs
+++ b/crates/cell/src/leader/sessions.rs
@@ -204,7 +204,7 @@
                 leader.apply(Event::Replaced { worker });
                 return;
             }
-            Err(OrderError::Reborn) => {
+            Err(OrderError::Restarted) => {
                 leader.apply(Event::Restarted { worker });
                 return;
             }
--- a/crates/cell/src/leader/vms.rs
+++ b/crates/cell/src/leader/vms.rs
@@ -121,7 +121,7 @@
                 return;
             }
             Err(VmOrderError::Busy) => VmOrderAnswer::Busy,
-            Err(VmOrderError::Unfit(_)) => VmOrderAnswer::Unfit,
+            Err(VmOrderError::NotApplicable(_)) => VmOrderAnswer::NotApplicable,
             Err(VmOrderError::InDoubt(_)) => VmOrderAnswer::InDoubt,
         };
         log::vm_ordered(&command, answer, ordered.err().as_ref());
--- a/crates/cell/src/lib.rs
+++ b/crates/cell/src/lib.rs
@@ -8,7 +8,7 @@
 //! Layers, from the outside in: [`ports`] (interfaces to the platform), [`Node`] (what every node does),
 //! `leader` (what the scheduler does), on top of the I/O-free decisions of `syc-sched`.
 
-mod adviser;
+mod advice_query;
 mod claims;
 mod clock;
 pub mod clock_agreement;
--- a/crates/cell/src/log.rs
+++ b/crates/cell/src/log.rs
@@ -383,7 +383,7 @@
             .emit(),
         Note::Waiting {
             step,
-            lacking,
+            waits_for,
             eligible,
             required_label,
             allowed,
@@ -394,7 +394,7 @@
         } => Line::new(catalogue::STEP_WAITS)
             .display("job", step.job)
             .display("step", step)
-            .text("lacking", lacking)
+            .text("lacking", waits_for)
             .number("eligible", *eligible)
             .text("required_label", required_label)
             .number("allowed", *allowed)
--- a/crates/cell/src/node.rs
+++ b/crates/cell/src/node.rs
@@ -187,7 +187,9 @@
     #[must_use]
     pub fn agreed_time(&self) -> Option<AgreedTime> {
         let leader = self.leader();
-        leader.map_or(self.reported_time.get(), |leader| Some(leader.agreed_day()))
+        leader.map_or(self.reported_time.get(), |leader| {
+            Some(leader.agreed_time())
+        })
     }
 
     pub(crate) fn record_reported_time(&self, reply: &ContactReply) {
@@ -263,7 +265,7 @@
     loop {
         pause(node.settings.timing.tick_interval_ms).await;
         if let Some(leader) = node.leader() {
-            leader.update_day();
+            leader.update_agreed_time();
             leader.apply(Event::Ticked);
             leader.request_leadership_proof();
             leader.hand_over_if_isolated();
--- a/crates/cell/src/ports.rs
+++ b/crates/cell/src/ports.rs
@@ -332,7 +332,7 @@
     Replaced,
     /// The worker has restarted under the same name.
     #[error("the worker has restarted under the same name")]
-    Reborn,
+    Restarted,
     /// The worker has seen a greater fencing token.
     #[error("the worker has seen a greater fencing token")]
     Fenced,
@@ -475,7 +475,7 @@
     Busy,
     /// The VM does not exist, is not part of the wave or can't be in the pool.
     #[error("the order does not apply to the VM: {0}")]
-    Unfit(SmolStr),
+    NotApplicable(SmolStr),
     /// The outcome is unknown: the order may have been carried out, or may still be.
     #[error("the outcome of the order is unknown: {0}")]
     InDoubt(SmolStr),
--- a/crates/fleet/src/vms.rs
+++ b/crates/fleet/src/vms.rs
@@ -168,7 +168,7 @@
         command: &VmCommand,
         now: Millis,
     ) -> Result<(), VmOrderError> {
-        let unfit = |text: &'static str| VmOrderError::Unfit(SmolStr::new_static(text));
+        let unfit = |text: &'static str| VmOrderError::NotApplicable(SmolStr::new_static(text));
         let vm = self
             .vms
             .get_mut(&command.vm)
--- a/crates/sched/src/action.rs
+++ b/crates/sched/src/action.rs
@@ -104,9 +104,9 @@
         completed: bool,
     },
     /// Delete the stored specification of a job: only its state can still be queried.
-    DropSpec(JobId),
+    DeleteSpec(JobId),
     /// Delete everything that is stored of a job.
-    Forget(JobId),
+    DeleteJob(JobId),
     /// Write a decision to the log.
     Note(Note),
 }
@@ -129,7 +129,7 @@
     /// Its start order was not answered.
     StartInDoubt,
     /// Its worker's VM is about to be taken away.
-    Emptying,
+    Evacuating,
     /// Its worker is slow, and it would finish sooner elsewhere.
     Slow,
     /// The run is over; the order only probes whether the worker accepts orders.
@@ -148,7 +148,7 @@
             Self::Draining => "draining",
             Self::Unwanted => "unwanted",
             Self::StartInDoubt => "start_in_doubt",
-            Self::Emptying => "emptying",
+            Self::Evacuating => "emptying",
             Self::Slow => "slow",
             Self::Probe => "probe",
         }
--- a/crates/sched/src/counts.rs
+++ b/crates/sched/src/counts.rs
@@ -46,7 +46,7 @@
         let silent_ms = now.since(worker.last_answer_at);
         self.longest_silence_ms = self.longest_silence_ms.max(silent_ms);
         if !worker.runs.is_empty() {
-            let lease_ms = worker.lapse_at.since(now);
+            let lease_ms = worker.leases_expire_at.since(now);
             self.longest_lease_ms = self.longest_lease_ms.max(lease_ms);
         }
     }
--- a/crates/sched/src/crash_history.rs
+++ b/crates/sched/src/crash_history.rs
@@ -171,7 +171,7 @@
     }
 
     /// Returns whether it takes no other starts, so that nothing else can be the cause of a crash.
-    pub(crate) fn is_kept_clear(&self) -> bool {
+    pub(crate) fn is_isolated(&self) -> bool {
         let may_include = self.suspected_runs > 0;
         self.reserved_isolations > 0
             || may_include && self.runs.values().any(WorkerRun::is_isolated)
--- a/crates/sched/src/event.rs
+++ b/crates/sched/src/event.rs
@@ -114,7 +114,7 @@
         /// Number of the run.
         run: Run,
         /// Whether the worker accepted it: the run ends soon or will never start.
-        taken: bool,
+        accepted: bool,
     },
     /// An order to change a run's pace was answered or has failed.
     PaceAnswered {
@@ -127,7 +127,7 @@
         /// The ordered pace.
         percent: u8,
         /// Whether the worker accepted it.
-        taken: bool,
+        accepted: bool,
     },
     /// An advice call was answered or has failed.
     Advised {
--- a/crates/sched/src/job.rs
+++ b/crates/sched/src/job.rs
@@ -72,7 +72,7 @@
     /// Number of the latest start that counted as failed.
     pub(crate) last_failed: Run,
     /// Number of the latest start that was abandoned because its lease had certainly expired.
-    pub(crate) last_lapsed: Run,
+    pub(crate) last_expired: Run,
     pub(crate) checkpoint: SmolStr,
     /// Total run time of the latest run, extrapolated from its observed speed.
     pub(crate) expected_run_ms: Option<u64>,
@@ -128,7 +128,7 @@
             last_started: Run(0),
             last_accounted: Run(0),
             last_failed: Run(0),
-            last_lapsed: Run(0),
+            last_expired: Run(0),
             checkpoint: SmolStr::new_static(""),
             expected_run_ms: None,
             moves: 0,
--- a/crates/sched/src/maintenance.rs
+++ b/crates/sched/src/maintenance.rs
@@ -381,7 +381,7 @@
         };
         let next = match answer {
             VmOrderAnswer::Done => VmPhase::Down(now),
-            VmOrderAnswer::Unfit => VmPhase::Removed,
+            VmOrderAnswer::NotApplicable => VmPhase::Removed,
             // An earlier order may still be carried out, so the VM counts as down until the outcome is known.
             VmOrderAnswer::Busy | VmOrderAnswer::InDoubt => VmPhase::Ordered {
                 at: *at,
@@ -394,7 +394,7 @@
             return;
         }
         open.changes += 1;
-        if answer == VmOrderAnswer::Unfit {
+        if answer == VmOrderAnswer::NotApplicable {
             self.cancel_evacuation(vm);
         }
     }
--- a/crates/sched/src/misdirected.rs
+++ b/crates/sched/src/misdirected.rs
@@ -91,7 +91,7 @@
         } = misdirected;
         self.reassign_member(task, run, intended_worker, key);
         let worker = &mut self.workers[key];
-        worker.lapse_at = worker.lapse_at.max(ended_at);
+        worker.leases_expire_at = worker.leases_expire_at.max(ended_at);
         worker.insert(task, run, held.into_unconfirmed(now));
         self.stop_run(key, task, run, StopReason::StartInDoubt, now);
     }
@@ -139,7 +139,7 @@
                 && let Some(step) = self.jobs[job].steps.get_mut(step)
             {
                 let unit = &mut step.units[unit];
-                unit.last_lapsed = unit.last_lapsed.max(run);
+                unit.last_expired = unit.last_expired.max(run);
             }
             let checkpoint = held.checkpoint;
             self.record_run_end(
--- a/crates/sched/src/note.rs
+++ b/crates/sched/src/note.rs
@@ -84,7 +84,7 @@
         /// The step.
         step: StepId,
         /// What it waits for.
-        lacking: &'static str,
+        waits_for: &'static str,
         /// Number of workers that meet its requirements and accept work.
         eligible: usize,
         /// Label that its workers must have; empty for none.
--- a/crates/sched/src/placement.rs
+++ b/crates/sched/src/placement.rs
@@ -480,8 +480,8 @@
 
 /// Returns what remains of a worker after placing a task, as the sum of processor and memory in thousandths of its
 /// capacity.
-fn leftover_permille(worker: &Worker, room: &Resources, need: &Resources) -> u64 {
-    let left = room.saturating_sub(need);
+fn leftover_permille(worker: &Worker, available: &Resources, need: &Resources) -> u64 {
+    let left = available.saturating_sub(need);
     let capacity = &worker.spec.capacity;
     let cpu = left.cpu_millis.saturating_mul(1_000) / capacity.cpu_millis.max(1);
     let memory = left.memory_bytes / (capacity.memory_bytes / 1_000).max(1);
--- a/crates/sched/src/pools.rs
+++ b/crates/sched/src/pools.rs
@@ -51,7 +51,7 @@
     borrowed: BTreeMap<VmId, ServiceName>,
     idle_since: BTreeMap<VmId, Millis>,
     /// VMs that can't be moved to a pool.
-    unfit: BTreeSet<(VmId, ServiceName)>,
+    ineligible: BTreeSet<(VmId, ServiceName)>,
 }
 
 /// The demand of a service, and the capacity of its workers.
@@ -163,11 +163,11 @@
             .collect();
         for info in candidates {
             let is_busy = self.pools.pending_moves.contains_key(&info.id);
-            let is_unfit = self
+            let is_ineligible = self
                 .pools
-                .unfit
+                .ineligible
                 .contains(&(info.id.clone(), service.clone()));
-            if is_busy || is_unfit {
+            if is_busy || is_ineligible {
                 continue;
             }
             if self.pools.pending_moves.len() >= CONCURRENT_MOVES_LIMIT
@@ -268,8 +268,8 @@
         match answer {
             VmOrderAnswer::Done => pending.done_at = Some(now),
             VmOrderAnswer::Busy | VmOrderAnswer::InDoubt => {}
-            VmOrderAnswer::Unfit => {
-                self.pools.unfit.insert((vm.clone(), pool.clone()));
+            VmOrderAnswer::NotApplicable => {
+                self.pools.ineligible.insert((vm.clone(), pool.clone()));
                 self.pools.pending_moves.remove(vm);
                 self.pools.borrowed.remove(vm);
                 self.cancel_evacuation(vm);
--- a/crates/sched/src/recovery.rs
+++ b/crates/sched/src/recovery.rs
@@ -108,7 +108,7 @@
         self.vms.orders_allowed_from = now.plus(self.options.vm_order_pause_ms);
         let bound_ms = self.options.authority_ms + self.options.lease_bound_ms;
         for worker in self.workers.values_mut() {
-            worker.lapse_at = worker.lapse_at.max(now.plus(bound_ms));
+            worker.leases_expire_at = worker.leases_expire_at.max(now.plus(bound_ms));
         }
         let elected_at = self.recovery.elected_at;
         self.recovery = Recovery {
@@ -204,7 +204,7 @@
             return;
         }
         let run = unit.last_accounted.next();
-        unit.last_lapsed = run;
+        unit.last_expired = run;
         self.jobs[unit_ref.job].steps[unit_ref.step].pending_units -= 1;
         self.record_outcome(unit_ref, run, Outcome::Interrupted, now);
     }
--- a/crates/sched/src/reports.rs
+++ b/crates/sched/src/reports.rs
@@ -72,7 +72,7 @@
             self.lose_runs(key, "left", now);
         }
         let worker = &self.workers[key];
-        let lapsed = worker.lapse_at <= now;
+        let lapsed = worker.leases_expire_at <= now;
         if worker.runs.is_empty() && (lapsed || worker.spec.draining) {
             self.detach(key);
         }
@@ -90,7 +90,7 @@
     pub(crate) fn renewing(&mut self, key: WorkerKey, now: Millis) {
         let bound_ms = self.options.lease_bound_ms;
         if let Some(worker) = self.workers.get_mut(key) {
-            worker.lapse_at = worker.lapse_at.max(now.plus(bound_ms));
+            worker.leases_expire_at = worker.leases_expire_at.max(now.plus(bound_ms));
         }
     }
 
@@ -139,7 +139,7 @@
                 continue;
             };
             let unit = &mut self.jobs[job].steps[step].units[unit];
-            unit.last_lapsed = unit.last_lapsed.max(*run);
+            unit.last_expired = unit.last_expired.max(*run);
         }
         self.lose_runs(key, "lease_lapsed", now);
     }
@@ -166,7 +166,7 @@
         if !worker.runs_known && worker.runs.is_empty() {
             // From its first answer on, the worker refuses a predecessor's orders.
             let bound = now.plus(self.options.lease_bound_ms);
-            worker.lapse_at = worker.lapse_at.min(bound);
+            worker.leases_expire_at = worker.leases_expire_at.min(bound);
         }
         worker.runs_known = true;
         worker.last_answer_at = now;
--- a/crates/sched/src/retention.rs
+++ b/crates/sched/src/retention.rs
@@ -116,7 +116,7 @@
                 continue;
             };
             self.job_keys.remove(&job.id());
-            self.actions.push(Action::Forget(job.id()));
+            self.actions.push(Action::DeleteJob(job.id()));
         }
         self.early_cancellations
             .retain(|_, at| now.since(*at) <= keep_ms);
--- a/crates/sched/src/scheduler.rs
+++ b/crates/sched/src/scheduler.rs
@@ -183,15 +183,15 @@
                 worker,
                 task,
                 run,
-                taken,
-            } => self.stop_answered(worker, task, run, taken, now),
+                accepted,
+            } => self.stop_answered(worker, task, run, accepted, now),
             Event::PaceAnswered {
                 worker,
                 task,
                 run,
                 percent,
-                taken,
-            } => self.pace_answered(worker, (task, run), percent, taken, now),
+                accepted,
+            } => self.pace_answered(worker, (task, run), percent, accepted, now),
             Event::Advised {
                 step,
                 asked,
@@ -391,7 +391,7 @@
         if let Some(key) = self.job_keys.get(&id) {
             // A repeated submit stored the specification of an ended job again.
             if self.jobs[*key].visible_state.is_terminal() {
-                self.actions.push(Action::DropSpec(id));
+                self.actions.push(Action::DeleteSpec(id));
             }
             return;
         }
@@ -423,7 +423,7 @@
         let job = &self.jobs[key];
         if job.visible_state.is_terminal() {
             // The cancellation arrived after the end and left a record in the store.
-            self.actions.push(Action::DropSpec(id));
+            self.actions.push(Action::DeleteSpec(id));
         }
         if job.state.is_terminal() {
             return;
@@ -489,7 +489,7 @@
                     job.end_visible_at = Some(cell_now);
                     job.steps = Vec::new();
                     job.spec.payload = SmolStr::default();
-                    self.actions.push(Action::DropSpec(*id));
+                    self.actions.push(Action::DeleteSpec(*id));
                 }
                 continue;
             }
--- a/crates/sched/src/tick.rs
+++ b/crates/sched/src/tick.rs
@@ -37,7 +37,7 @@
     /// Ends the runs of a worker that is silent, or whose lease is withheld, once its lease has expired for certain.
     pub(crate) fn expire_lease(&mut self, key: WorkerKey, now: Millis) {
         let worker = &self.workers[key];
-        if (worker.silent || worker.breaker.withholds_lease) && worker.lapse_at <= now {
+        if (worker.silent || worker.breaker.withholds_lease) && worker.leases_expire_at <= now {
             self.expire_runs(key, now);
         }
         self.detach_if_idle(key, now);
--- a/crates/sched/src/units.rs
+++ b/crates/sched/src/units.rs
@@ -190,7 +190,7 @@
         now: Millis,
     ) {
         let unit = self.unit_mut(unit_ref);
-        if unit.is_done() || run <= unit.last_lapsed {
+        if unit.is_done() || run <= unit.last_expired {
             return;
         }
         let other = match &unit.state {
--- a/crates/sched/src/usable.rs
+++ b/crates/sched/src/usable.rs
@@ -11,21 +11,21 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum UnusableReason {
     /// It is not registered.
-    Unlisted,
+    Unregistered,
     /// It has not reported its runs yet.
-    Unheard,
+    RunsUnknown,
     /// Its latest renewal was unanswered.
     Silent,
     /// Its capacity may be lower than last reported.
-    RoomInDoubt,
+    StaleCapacity,
     /// It does not accept orders, or its lease is being let lapse.
-    TakesNoOrders,
+    AcceptsNoOrders,
     /// It is draining, or its VM is about to be taken.
     Leaving,
     /// Recent starts or runs on it failed, or it was slow.
     Quarantined,
     /// It is reserved for an isolated suspect, or running one.
-    KeptClear,
+    Isolated,
 }
 
 impl UnusableReason {
@@ -33,14 +33,14 @@
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
-            Self::Unlisted => "unlisted",
-            Self::Unheard => "unheard",
+            Self::Unregistered => "unlisted",
+            Self::RunsUnknown => "unheard",
             Self::Silent => "silent",
-            Self::RoomInDoubt => "room_in_doubt",
-            Self::TakesNoOrders => "takes_no_orders",
+            Self::StaleCapacity => "room_in_doubt",
+            Self::AcceptsNoOrders => "takes_no_orders",
             Self::Leaving => "leaving",
             Self::Quarantined => "quarantined",
-            Self::KeptClear => "kept_clear",
+            Self::Isolated => "kept_clear",
         }
     }
 }
@@ -75,7 +75,7 @@
 impl Worker {
     /// Returns whether it may get new work.
     pub(crate) fn is_usable(&self, now: Millis) -> bool {
-        self.is_usable_for_isolation(now) && !self.is_kept_clear()
+        self.is_usable_for_isolation(now) && !self.is_isolated()
     }
 
     /// Returns whether it may get the isolated task that it is reserved for.
@@ -85,17 +85,20 @@
 
     /// Returns the first reason why it gets no new work, if any.
     pub(crate) fn unusable_reason(&self, now: Millis) -> Option<UnusableReason> {
-        let kept_clear = self.is_kept_clear().then_some(UnusableReason::KeptClear);
-        self.unusable_reason_except_isolation(now).or(kept_clear)
+        let isolated = self.is_isolated().then_some(UnusableReason::Isolated);
+        self.unusable_reason_except_isolation(now).or(isolated)
     }
 
     fn unusable_reason_except_isolation(&self, now: Millis) -> Option<UnusableReason> {
         let reasons = [
-            (!self.registered, UnusableReason::Unlisted),
-            (!self.runs_known, UnusableReason::Unheard),
+            (!self.registered, UnusableReason::Unregistered),
+            (!self.runs_known, UnusableReason::RunsUnknown),
             (self.silent, UnusableReason::Silent),
-            (self.stale_capacity.is_some(), UnusableReason::RoomInDoubt),
-            (!self.breaker.allows_starts(), UnusableReason::TakesNoOrders),
+            (self.stale_capacity.is_some(), UnusableReason::StaleCapacity),
+            (
+                !self.breaker.allows_starts(),
+                UnusableReason::AcceptsNoOrders,
+            ),
             (
                 self.spec.draining || self.evacuating,
                 UnusableReason::Leaving,
--- a/crates/sched/src/vm_operation.rs
+++ b/crates/sched/src/vm_operation.rs
@@ -95,7 +95,7 @@
     /// The VM is not up, or is about to leave.
     Busy,
     /// The VM does not exist, is not part of the wave, or is not eligible for the pool.
-    Unfit,
+    NotApplicable,
     /// The operation may have been carried out, or may be later.
     InDoubt,
 }
@@ -107,7 +107,7 @@
         match self {
             Self::Done => "done",
             Self::Busy => "busy",
-            Self::Unfit => "unfit",
+            Self::NotApplicable => "unfit",
             Self::InDoubt => "in_doubt",
         }
     }
--- a/crates/sched/src/vms.rs
+++ b/crates/sched/src/vms.rs
@@ -106,11 +106,11 @@
             }
         }
         for (task, run) in checkpointed {
-            self.stop_run(key, task, run, StopReason::Emptying, now);
+            self.stop_run(key, task, run, StopReason::Evacuating, now);
         }
         for (task, run) in long_running {
             if self.may_interrupt(task.step, 1) {
-                self.stop_run(key, task, run, StopReason::Emptying, now);
+                self.stop_run(key, task, run, StopReason::Evacuating, now);
             }
         }
         self.workers[key].runs.is_empty()
--- a/crates/sched/src/waiting.rs
+++ b/crates/sched/src/waiting.rs
@@ -79,7 +79,7 @@
         let allowed = self
             .currently_allowed_workers(job_key, step_index, now)
             .len();
-        let lacking = if eligible == 0 {
+        let waits_for = if eligible == 0 {
             "workers"
         } else if step.advice.asked_at.is_some() {
             "advice"
@@ -90,7 +90,7 @@
         };
         Note::Waiting {
             step: self.step_id(job_key, step_index),
-            lacking,
+            waits_for,
             eligible,
             required_label: required_label.cloned().unwrap_or_default(),
             allowed,
--- a/crates/sched/src/worker.rs
+++ b/crates/sched/src/worker.rs
@@ -245,7 +245,7 @@
     /// When its latest silence was noticed.
     pub(crate) silent_since: Millis,
     /// The time by which the last of its leases has certainly lapsed.
-    pub(crate) lapse_at: Millis,
+    pub(crate) leases_expire_at: Millis,
     pub(crate) runs: BTreeMap<(TaskId, Run), WorkerRun>,
     used: Resources,
     pub(crate) reserved: Resources,
@@ -290,7 +290,7 @@
             capacity_reported_at: Millis(0),
             stale_capacity: None,
             silent_since: now,
-            lapse_at: now,
+            leases_expire_at: now,
             runs: BTreeMap::new(),
             used: Resources::ZERO,
             reserved: Resources::ZERO,
@@ -441,19 +441,22 @@
     }
 }
 
-/// Returns how many times `need` fits in `room`, at most `limit`.
-pub(crate) fn fit_count(room: &Resources, need: &Resources, limit: u32) -> u32 {
+/// Returns how many times `need` fits in `available`, at most `limit`.
+pub(crate) fn fit_count(available: &Resources, need: &Resources, limit: u32) -> u32 {
     let mut count = limit;
     let pairs = [
-        (room.cpu_millis, need.cpu_millis),
-        (room.memory_bytes, need.memory_bytes),
-        (u64::from(room.accelerators), u64::from(need.accelerators)),
+        (available.cpu_millis, need.cpu_millis),
+        (available.memory_bytes, need.memory_bytes),
+        (
+            u64::from(available.accelerators),
+            u64::from(need.accelerators),
+        ),
     ];
-    for (room, need) in pairs {
+    for (available, need) in pairs {
         if need == 0 {
             continue;
         }
-        let times = u32::try_from(room / need).unwrap_or(u32::MAX);
+        let times = u32::try_from(available / need).unwrap_or(u32::MAX);
         count = count.min(times);
     }
     count
--- a/crates/sched/tests/core/driver.rs
+++ b/crates/sched/tests/core/driver.rs
@@ -101,7 +101,7 @@
                 worker,
                 task: TaskId { step, index: 0 },
                 run: Run(1),
-                taken: true,
+                accepted: true,
             });
         }
         driver
@@ -311,12 +311,12 @@
     }
 
     /// Accepts the order to stop a run.
-    pub fn stop_taken(&mut self, start: &StartOrder) {
+    pub fn accept_stop(&mut self, start: &StartOrder) {
         self.apply(Event::StopAnswered {
             worker: start.worker,
             task: start.task,
             run: start.run,
-            taken: true,
+            accepted: true,
         });
     }
 
@@ -366,7 +366,7 @@
     }
 
     /// Answers the pending pace orders and returns the pace of the last one.
-    pub fn answer_paces(&mut self, taken: bool) -> Option<u8> {
+    pub fn answer_paces(&mut self, accepted: bool) -> Option<u8> {
         let paces = std::mem::take(&mut self.paces);
         for (worker, task, run, percent) in &paces {
             self.apply(Event::PaceAnswered {
@@ -374,7 +374,7 @@
                 task: *task,
                 run: *run,
                 percent: *percent,
-                taken,
+                accepted,
             });
         }
         paces.last().map(|(_, _, _, percent)| *percent)
--- a/crates/sched/tests/core/lifecycle.rs
+++ b/crates/sched/tests/core/lifecycle.rs
@@ -118,7 +118,7 @@
     let start = driver.starts[0].clone();
     driver.cancel(1);
     driver.advance(50);
-    driver.stop_taken(&start);
+    driver.accept_stop(&start);
     driver.advance(50);
     driver.report_running(start.worker, &[]);
     driver.record();
@@ -137,7 +137,7 @@
     let started = driver.confirm_starts();
     driver.report_running(started[0].worker, &[(started[0].task, started[0].run, 5)]);
     driver.cancel(1);
-    driver.stop_taken(&started[0]);
+    driver.accept_stop(&started[0]);
     driver.submit(2, policy(1), vec![step(1, 2)]);
     driver.schedule();
     assert!(
--- a/crates/sched/tests/core/maintenance.rs
+++ b/crates/sched/tests/core/maintenance.rs
@@ -80,7 +80,7 @@
 /// listed more than once.
 fn evacuated_tasks(driver: &Driver) -> Vec<TaskId> {
     let stops = driver.stops.iter();
-    let moving = stops.filter(|stop| stop.reason == StopReason::Emptying);
+    let moving = stops.filter(|stop| stop.reason == StopReason::Evacuating);
     moving.map(|stop| stop.task).collect()
 }
 
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_new_scheduler_gives_no_orders_about_vms_at_first() {
+fn new_scheduler_delays_its_first_vm_orders() {
     let mut driver = published(2, 2);
     pass(&mut driver, 2, &[], 3_400);
     assert_eq!(ordered(&mut driver), []);
--- a/crates/sched/tests/core/pools.rs
+++ b/crates/sched/tests/core/pools.rs
@@ -63,10 +63,12 @@
 
 fn take_moves(driver: &mut Driver) -> Vec<(VmId, ServiceName)> {
     let orders = std::mem::take(&mut driver.vm_orders);
-    let moves = orders.into_iter().filter_map(|(vm, duty)| match duty {
-        VmOperation::Move { pool } => Some((vm, pool)),
-        VmOperation::Maintenance { .. } => None,
-    });
+    let moves = orders
+        .into_iter()
+        .filter_map(|(vm, operation)| match operation {
+            VmOperation::Move { pool } => Some((vm, pool)),
+            VmOperation::Maintenance { .. } => None,
+        });
     moves.collect()
 }
 
@@ -108,12 +110,12 @@
 }
 
 #[test]
-fn a_vm_refused_as_unfit_is_not_requested_again() {
+fn inapplicable_vm_move_is_not_repeated() {
     let mut driver = driver();
     driver.submit(1, policy(0), vec![step(12, 1)]);
     run_for(&mut driver, IN_SERVICE, 6_000);
     take_moves(&mut driver);
-    answer_move(&mut driver, vm(2), SERVICE, VmOrderAnswer::Unfit);
+    answer_move(&mut driver, vm(2), SERVICE, VmOrderAnswer::NotApplicable);
     run_for(&mut driver, IN_SERVICE, 2_000);
     assert_eq!(take_moves(&mut driver), [(vm(3), pool(SERVICE))]);
 }
--- a/crates/sched/tests/core/proof.rs
+++ b/crates/sched/tests/core/proof.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_job_starts_once_the_store_has_taken_what_was_sent_after_it_or_lately() {
+fn job_starts_only_with_a_recent_or_later_leadership_proof() {
     let authority_ms = Options::default().proof_validity_ms;
     let mut driver = Driver::new(1, 8);
     driver.scheduler.require_leadership_proof();
@@ -51,7 +51,7 @@
 /// and later jobs do not.
 #[test_case(false, Options::default().authority_ms; "predecessors that start without a proof")]
 #[test_case(true, Options::default().proof_validity_ms + 50; "predecessors that require a proof")]
-fn what_came_after_a_takeover_waits_only_while_predecessors_may_start_it(
+fn job_waits_after_takeover_only_while_predecessors_may_start_it(
     require_proof: bool,
     delay_ms: u64,
 ) {
--- a/crates/sched/tests/core/restarts.rs
+++ b/crates/sched/tests/core/restarts.rs
@@ -126,7 +126,7 @@
         worker: next,
         task: start.task,
         run: start.run,
-        taken: true,
+        accepted: true,
     });
     driver.report(next, &[], &[(start.task, start.run, RunEnd::Stopped)]);
     driver.record();
@@ -153,7 +153,7 @@
     driver.apply(Event::Restarted { worker: first });
     driver.report_running(next, &[]);
     assert!(driver.settle().is_empty(), "the stop is unanswered");
-    driver.stop_taken(&syc_sched::StartOrder {
+    driver.accept_stop(&syc_sched::StartOrder {
         worker: next,
         ..start
     });
@@ -255,7 +255,7 @@
         driver.settle().is_empty(),
         "the start may still arrive, since the stop is unanswered"
     );
-    driver.stop_taken(&syc_sched::StartOrder {
+    driver.accept_stop(&syc_sched::StartOrder {
         worker: next,
         ..start.clone()
     });
--- a/crates/sched/tests/core/retention.rs
+++ b/crates/sched/tests/core/retention.rs
@@ -91,7 +91,7 @@
     fn apply(&mut self, event: Event) {
         let now = self.now();
         for action in self.scheduler.handle(event, now) {
-            let Action::Forget(id) = action else {
+            let Action::DeleteJob(id) = action else {
                 continue;
             };
             let kept_ms = self.at_ms - self.visible_at_ms[&id];
@@ -282,5 +282,5 @@
     simulation.record(end);
     let now = simulation.now();
     let actions = simulation.scheduler.handle(Event::JobCancelled(id), now);
-    assert_eq!(actions, [Action::DropSpec(id)]);
+    assert_eq!(actions, [Action::DeleteSpec(id)]);
 }
--- a/crates/sched/tests/core/review.rs
+++ b/crates/sched/tests/core/review.rs
@@ -184,7 +184,7 @@
                 worker: stop.worker,
                 task: stop.task,
                 run: stop.run,
-                taken: false,
+                accepted: false,
             });
         }
         for start in std::mem::take(&mut driver.starts) {
--- a/crates/sched/tests/core/sharing.rs
+++ b/crates/sched/tests/core/sharing.rs
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_tail_over_its_limit_brings_what_fills_to_a_halt_within_two_seconds() {
+fn tail_latency_over_the_limit_pauses_backfill_within_two_seconds() {
     let (mut driver, shop, crunch) = shared_worker();
     let pace = report(&mut driver, (&shop, &crunch), 150, 4);
     assert_eq!(pace, Some(0));
@@ -118,7 +118,7 @@
     let (mut driver, shop, crunch) = shared_worker();
     assert_eq!(report(&mut driver, (&shop, &crunch), 150, 4), Some(0));
     driver.cancel(1);
-    driver.stop_taken(&shop);
+    driver.accept_stop(&shop);
     driver.advance(1_000);
     driver.report_loads(shop.worker, &[(&crunch, 0)]);
     assert_eq!(driver.answer_paces(true), Some(100));
--- a/crates/sched/tests/core/silence.rs
+++ b/crates/sched/tests/core/silence.rs
@@ -89,7 +89,7 @@
     driver.starts.clear();
     driver.schedule();
     assert!(driver.starts.is_empty(), "the stop is not accepted yet");
-    driver.stop_taken(&first);
+    driver.accept_stop(&first);
     driver.advance(10);
     driver.report_running(first.worker, &[]);
     driver.record();
@@ -129,7 +129,7 @@
     let counts = driver.scheduler.counts(driver.now);
     assert_eq!((counts.doubtful_runs, counts.oldest_doubt_ms), (0, 0));
     driver.cancel(1);
-    driver.stop_taken(&started[0]);
+    driver.accept_stop(&started[0]);
     driver.advance(50);
     let counts = driver.scheduler.counts(driver.now);
     assert_eq!((counts.doubtful_runs, counts.oldest_doubt_ms), (1, 50));
--- a/crates/sched/tests/core/simulation.rs
+++ b/crates/sched/tests/core/simulation.rs
@@ -161,7 +161,7 @@
                     worker: stop.worker,
                     task: stop.task,
                     run: stop.run,
-                    taken: accepted,
+                    accepted,
                 });
             }
         }
--- a/crates/sched/tests/core/stale_capacity.rs
+++ b/crates/sched/tests/core/stale_capacity.rs
@@ -179,7 +179,7 @@
         Action::Note(Note::Waiting { unusable, .. }) => Some(unusable),
         _ => None,
     });
-    let hindered = note.expect("a note after a second of waiting");
-    assert_eq!(hindered.count(UnusableReason::RoomInDoubt), 1);
-    assert_eq!(hindered.to_string(), "room_in_doubt=1");
+    let unusable = note.expect("a note after a second of waiting");
+    assert_eq!(unusable.count(UnusableReason::StaleCapacity), 1);
+    assert_eq!(unusable.to_string(), "room_in_doubt=1");
 }
--- a/crates/sched/tests/core/unanswered_orders.rs
+++ b/crates/sched/tests/core/unanswered_orders.rs
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_worker_whose_lease_was_let_lapse_is_used_again_once_it_accepts_orders() {
+fn a_worker_with_a_withheld_lease_is_used_again_once_it_accepts_orders() {
     let mut simulation = simulation_with_unresponsive_worker(30_000);
     simulation.run_for(35_000);
     simulation.submit(20..32);
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn running_tasks_of_a_lapsed_worker_restart_elsewhere_without_overlap() {
+fn running_tasks_of_a_worker_with_a_withheld_lease_restart_elsewhere_without_overlap() {
     let mut simulation = Simulation::new(3, 4);
     simulation.work_ms = 12_000;
     simulation.submit(1..7);
@@ -172,7 +172,7 @@
                 worker: stop.worker,
                 task: stop.task,
                 run: stop.run,
-                taken: false,
+                accepted: false,
             });
         }
         driver.apply(Event::Ticked);
@@ -187,7 +187,7 @@
 #[test_case(0, 0; "none may be unavailable")]
 #[test_case(1, 1; "one may be unavailable")]
 #[test_case(2, 2; "both may be unavailable")]
-fn leases_are_let_lapse_only_within_the_unavailable_limit(limit: u32, expected: usize) {
+fn leases_are_withheld_only_within_the_unavailable_limit(limit: u32, expected: usize) {
     let (mut driver, serving) = workers_with_unanswered_starts(limit);
     let limit_ms = Options::default().in_doubt_limit_ms;
     pass_ignoring_orders(&mut driver, &serving, 2 * limit_ms);
--- a/crates/sched/tests/overload/main.rs
+++ b/crates/sched/tests/overload/main.rs
@@ -20,7 +20,7 @@
 const OUTAGE: Disruption = Disruption {
     from_ms: 15_000,
     until_ms: 20_000,
-    absent_advisers: 10,
+    absent_advice_nodes: 10,
     urgent_load_factor: 1.9,
 };
 
--- a/crates/sched/tests/overload/replay.rs
+++ b/crates/sched/tests/overload/replay.rs
@@ -62,7 +62,7 @@
     Event(Event),
     Advised {
         step: StepId,
-        adviser: SmolStr,
+        advice_node: SmolStr,
         length: CallLength,
         asked: Vec<WorkerKey>,
     },
@@ -93,7 +93,7 @@
     now: Millis,
     fleet: FleetModel,
     scheduler: Scheduler,
-    advisers: AdviceNodes,
+    advice_nodes: AdviceNodes,
     advice: AdviceModel,
     sessions: BTreeMap<WorkerKey, (WorkerId, Millis)>,
     stop_sent: BTreeSet<WorkerKey>,
@@ -128,7 +128,7 @@
             now,
             fleet: FleetModel::default(),
             scheduler: Scheduler::new(Options::default()),
-            advisers: AdviceNodes::with_local(SmolStr::new_static("node-00"), now),
+            advice_nodes: AdviceNodes::with_local(SmolStr::new_static("node-00"), now),
             advice: AdviceModel::default(),
             sessions: BTreeMap::new(),
             stop_sent: BTreeSet::new(),
@@ -170,7 +170,7 @@
         while self.now.0 < until_ms {
             self.now = self.now.plus(TICK_MS);
             self.fleet.advance(self.now);
-            self.refresh_advisers();
+            self.refresh_advice_nodes();
             self.submit_jobs();
             self.deliver();
             self.renew();
@@ -187,12 +187,12 @@
             .filter(|disruption| (disruption.from_ms..disruption.until_ms).contains(&self.now.0))
     }
 
-    fn refresh_advisers(&mut self) {
+    fn refresh_advice_nodes(&mut self) {
         let absent = self
             .active_disruption()
-            .map_or(0, |disruption| disruption.absent_advisers);
-        for number in 1..self.setup.advisers - absent {
-            self.advisers
+            .map_or(0, |disruption| disruption.absent_advice_nodes);
+        for number in 1..self.setup.advice_nodes - absent {
+            self.advice_nodes
                 .note_heartbeat(&format_smolstr!("node-{number:02}"), self.now);
         }
     }
@@ -253,7 +253,7 @@
     /// Runs a scheduling pass.
     pub fn schedule(&mut self) {
         self.scheduler
-            .set_advice_slots(self.advisers.slots(self.now));
+            .set_advice_slots(self.advice_nodes.slots(self.now));
         let actions = self.scheduler.schedule(self.now);
         self.perform(actions);
     }
@@ -285,11 +285,12 @@
                 Delivery::Event(event) => self.apply(event),
                 Delivery::Advised {
                     step,
-                    adviser,
+                    advice_node,
                     length,
                     asked,
                 } => {
-                    self.advisers.release(&adviser, length, true, self.now);
+                    self.advice_nodes
+                        .release(&advice_node, length, true, self.now);
                     self.advised(step, asked);
                 }
             }
@@ -421,13 +422,13 @@
             run,
             token: 1,
         };
-        let taken = self.fleet.stop(&id, &command, self.now).is_ok();
+        let accepted = self.fleet.stop(&id, &command, self.now).is_ok();
         self.stop_sent.insert(worker);
         let event = Event::StopAnswered {
             worker,
             task,
             run,
-            taken,
+            accepted,
         };
         self.deliver_after(1, Delivery::Event(event));
     }
@@ -437,7 +438,7 @@
         let policy = self.setup.kinds[kind].advice;
         let expected_ms = policy.call_ms(workers.len());
         let length = Options::default().length_of_call(expected_ms);
-        let Some(adviser) = self.advisers.acquire(length, self.now) else {
+        let Some(advice_node) = self.advice_nodes.acquire(length, self.now) else {
             let answer = AdviceAnswer::Failed;
             let event = Event::Advised {
                 step,
@@ -447,10 +448,12 @@
             self.apply(event);
             return;
         };
-        let until = self.advice.call(&adviser, &policy, workers.len(), self.now);
+        let until = self
+            .advice
+            .call(&advice_node, &policy, workers.len(), self.now);
         let delivery = Delivery::Advised {
             step,
-            adviser,
+            advice_node,
             length,
             asked: workers,
         };
--- a/crates/sched/tests/overload/setup.rs
+++ b/crates/sched/tests/overload/setup.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone)]
 pub struct Setup {
     pub workers: u64,
-    pub advisers: u32,
+    pub advice_nodes: u32,
     pub kinds: Vec<RequestKind>,
     pub load_until_ms: u64,
     pub end_ms: u64,
@@ -29,7 +29,7 @@
 pub struct Disruption {
     pub from_ms: u64,
     pub until_ms: u64,
-    pub absent_advisers: u32,
+    pub absent_advice_nodes: u32,
     /// Factor by which the urgent load increases.
     pub urgent_load_factor: f64,
 }
@@ -39,7 +39,7 @@
     pub fn large() -> Self {
         Self {
             workers: 350,
-            advisers: 30,
+            advice_nodes: 30,
             kinds: vec![gangs(), batch(), lookups()],
             load_until_ms: 55_000,
             end_ms: 70_000,
@@ -55,7 +55,7 @@
         });
         Self {
             workers: 540,
-            advisers: 97,
+            advice_nodes: 97,
             kinds: kinds.to_vec(),
             load_until_ms: 30_000,
             end_ms: 42_000,
--- a/crates/sched/tests/schedules/main.rs
+++ b/crates/sched/tests/schedules/main.rs
@@ -49,7 +49,7 @@
 #[test_case(Profile { worker_restarts: 6, lost_per_mille: 80, ..Profile::FAULT_FREE }; "workers start again and answers are lost")]
 #[test_case(Profile { worker_restarts: 6, store_pauses: 4, ..Profile::FAULT_FREE }; "workers start again while the store pauses")]
 #[test_case(Profile { worker_restarts: 6, ..Profile::ALL_FAULTS }; "workers start again and everything at once")]
-fn nothing_runs_twice_and_every_job_ends_as_it_must(profile: Profile) {
+fn random_schedules_violate_no_invariant(profile: Profile) {
     for seed in 1..=SEEDS {
         let mut simulation = Simulation::new(seed, profile, Options::default());
         simulation.run();
@@ -65,7 +65,7 @@
 #[test_case(Profile { crashing_jobs: 3, store_pauses: 4, ..Profile::FAULT_FREE }; "while the store pauses")]
 #[test_case(Profile { crashing_jobs: 3, worker_crashes: 4, partitions: 4, ..Profile::FAULT_FREE }; "beside workers that are lost for other reasons")]
 #[test_case(Profile { crashing_jobs: 3, capacity_changes: 10, ..Profile::ALL_FAULTS }; "and everything at once")]
-fn a_task_that_takes_its_workers_down_is_given_up_and_no_other_is(profile: Profile) {
+fn only_jobs_that_crash_workers_fail(profile: Profile) {
     for seed in 1..=SEEDS {
         let mut simulation = Simulation::new(seed, profile, Options::default());
         simulation.run();
@@ -89,7 +89,7 @@
 /// Two consecutive schedulers start a task and are lost while the store accepts no writes, so that it is unknown on
 /// which workers the task ran.
 #[test]
-fn crashes_under_starts_that_were_never_written_count() {
+fn crashes_under_unrecorded_starts_are_counted() {
     let profile = Profile {
         crashing_jobs: 3,
         ..Profile::ALL_FAULTS
@@ -101,7 +101,7 @@
 
 /// Three workers are lost while a start order is in flight, but the task ran on only one of them.
 #[test]
-fn a_job_is_not_given_up_for_starts_that_never_arrived() {
+fn undelivered_starts_do_not_fail_the_job() {
     let profile = Profile {
         worker_restarts: 6,
         ..Profile::ALL_FAULTS
@@ -215,7 +215,7 @@
 
 /// The limits of a wave and of a step are deliberately hidden from the scheduler.
 #[test]
-fn the_judge_notices_too_many_vms_down_and_too_many_tasks_away() {
+fn judge_detects_too_many_unavailable_vms_and_tasks() {
     let profile = Profile {
         wave_concurrency: 1,
         hides_limits: true,
@@ -238,7 +238,7 @@
 
 /// Pace orders are deliberately not carried out.
 #[test]
-fn the_judge_notices_what_fills_at_full_speed() {
+fn judge_detects_unpaced_backfill() {
     let profile = Profile {
         mixed_workload: true,
         ignores_pace: true,
--- a/crates/sched/tests/schedules/simulation.rs
+++ b/crates/sched/tests/schedules/simulation.rs
@@ -588,7 +588,7 @@
                 }
                 Action::OrderVm { vm, operation } => self.send_vm_order(vm, operation),
                 Action::ReportWave { wave, completed } => self.vms.told(wave, completed),
-                Action::DropSpec(_) | Action::Forget(_) | Action::Note(_) => {}
+                Action::DeleteSpec(_) | Action::DeleteJob(_) | Action::Note(_) => {}
             }
         }
     }
--- a/crates/sched/tests/schedules/simulation/orders.rs
+++ b/crates/sched/tests/schedules/simulation/orders.rs
@@ -105,7 +105,7 @@
                 return;
             }
             Err(OrderError::NotSent(_) | OrderError::NoConnection(_)) => StartAnswer::NotSent,
-            Err(OrderError::Reborn | OrderError::Fenced | OrderError::InDoubt(_)) => {
+            Err(OrderError::Restarted | OrderError::Fenced | OrderError::InDoubt(_)) => {
                 StartAnswer::InDoubt
             }
         };
@@ -129,11 +129,11 @@
             run,
             token: self.token,
         };
-        let answer = |taken| Event::StopAnswered {
+        let answer = |accepted| Event::StopAnswered {
             worker,
             task,
             run,
-            taken,
+            accepted,
         };
         if let Some(reset) = self.reset_outcome(&id) {
             if let ResetOutcome::CarriedOutAfter(late_ms) = reset {
@@ -153,9 +153,9 @@
             return;
         }
         let outcome = self.fleet.stop(&id, &command, self.now);
-        let taken = outcome.is_ok() && !self.is_lost();
+        let accepted = outcome.is_ok() && !self.is_lost();
         let delay_ms = self.rng.random_range(1..30);
-        self.answer(delay_ms, answer(taken));
+        self.answer(delay_ms, answer(accepted));
     }
 
     pub(super) fn send_pace(&mut self, worker: WorkerKey, task_run: (TaskId, Run), percent: u8) {
@@ -170,12 +170,12 @@
             percent,
             token: self.token,
         };
-        let answer = |taken| Event::PaceAnswered {
+        let answer = |accepted| Event::PaceAnswered {
             worker,
             task,
             run,
             percent,
-            taken,
+            accepted,
         };
         if let Some(reset) = self.reset_outcome(&id) {
             if let ResetOutcome::CarriedOutAfter(late_ms) = reset {
@@ -196,9 +196,9 @@
         }
         let carried_out =
             self.profile.ignores_pace || self.fleet.pace(&id, &command, self.now).is_ok();
-        let taken = carried_out && !self.is_lost();
+        let accepted = carried_out && !self.is_lost();
         let delay_ms = self.rng.random_range(1..30);
-        self.answer(delay_ms, answer(taken));
+        self.answer(delay_ms, answer(accepted));
     }
 
     pub(super) fn send_vm_order(&mut self, vm: VmId, operation: VmOperation) {
@@ -224,7 +224,7 @@
             _ if self.is_lost() => VmOrderAnswer::InDoubt,
             Ok(()) => VmOrderAnswer::Done,
             Err(VmOrderError::Busy) => VmOrderAnswer::Busy,
-            Err(VmOrderError::Unfit(_)) => VmOrderAnswer::Unfit,
+            Err(VmOrderError::NotApplicable(_)) => VmOrderAnswer::NotApplicable,
             Err(VmOrderError::Fenced | VmOrderError::InDoubt(_)) => VmOrderAnswer::InDoubt,
         };
         let delay_ms = self.rng.random_range(1..30);
--- a/crates/sched/tests/takeovers/simulation.rs
+++ b/crates/sched/tests/takeovers/simulation.rs
@@ -572,12 +572,12 @@
         };
         let command = StopCommand { task, run, token };
         let is_reached = self.is_reachable(token, &id);
-        let was_taken = is_reached && self.fleet.stop(&id, &command, now).is_ok();
+        let was_accepted = is_reached && self.fleet.stop(&id, &command, now).is_ok();
         let event = Event::StopAnswered {
             worker,
             task,
             run,
-            taken: was_taken,
+            accepted: was_accepted,
         };
         self.node(token).apply(event, now);
     }
