--- a/crates/sched/src/action.rs
+++ b/crates/sched/src/action.rs
@@ -128,7 +128,7 @@
     Unwanted,
     /// Its start order was not answered.
     StartInDoubt,
-    /// Its worker's VM is about to be taken away.
+    /// Its worker's VM is about to go down for maintenance.
     Evacuating,
     /// Its worker is slow, and it would finish sooner elsewhere.
     Slow,
--- a/crates/sched/src/usable.rs
+++ b/crates/sched/src/usable.rs
@@ -18,13 +18,13 @@
     Silent,
     /// Its capacity may be lower than last reported.
     StaleCapacity,
-    /// It does not accept orders, or its lease is being let lapse.
+    /// It does not accept orders, or its lease is deliberately left to expire.
     AcceptsNoOrders,
-    /// It is draining, or its VM is about to be taken.
+    /// It is draining, or its VM is about to go down or to move to another pool.
     Leaving,
     /// Recent starts or runs on it failed, or it was slow.
     Quarantined,
-    /// It is reserved for an isolated suspect, or running one.
+    /// It is reserved for an isolated suspect or runs one.
     Isolated,
 }
 
--- a/crates/sched/src/vms.rs
+++ b/crates/sched/src/vms.rs
@@ -170,7 +170,7 @@
         let mut in_service = 0;
         for worker in self.workers.values() {
             // The last report of a silent worker may be as old as its lease, and nobody is served there meanwhile.
-            // Runs on a worker whose lease is being let lapse are about to end.
+            // Runs on a worker whose lease is deliberately left to expire are about to end.
             if worker.silent || worker.breaker.withholds_lease {
                 continue;
             }
--- a/crates/sched/src/worker.rs
+++ b/crates/sched/src/worker.rs
@@ -244,7 +244,7 @@
     pub(crate) stale_capacity: Option<StaleCapacity>,
     /// When its latest silence was noticed.
     pub(crate) silent_since: Millis,
-    /// The time by which the last of its leases has certainly lapsed.
+    /// The time by which the last of its leases has certainly expired.
     pub(crate) leases_expire_at: Millis,
     pub(crate) runs: BTreeMap<(TaskId, Run), WorkerRun>,
     used: Resources,
@@ -272,7 +272,7 @@
     pub(crate) reserved_isolations: u32,
     /// Number of its runs whose tasks were suspected when they were started.
     pub(crate) suspected_runs: u32,
-    /// Whether its runs are being moved off, because its VM is about to be taken.
+    /// Whether its runs are being moved off, because its VM is about to go down or to move to another pool.
     pub(crate) evacuating: bool,
     /// Controls the pace of the runs that fill unused processor time.
     pub(crate) pace: PaceControl,
--- a/crates/sched/src/worker_report.rs
+++ b/crates/sched/src/worker_report.rs
@@ -46,7 +46,7 @@
     Failed,
     /// It was stopped by an order.
     Stopped,
-    /// Its lease lapsed.
+    /// Its lease expired.
     Lapsed,
     /// Another member of its gang ended.
     Broken,
@@ -131,7 +131,7 @@
     Fenced,
     /// A run with the same or a later number was stopped or ended there.
     OldRun,
-    /// The lease had lapsed when the order arrived.
+    /// The lease had expired when the order arrived.
     Late,
     /// The worker does not have enough free resources.
     NoRoom,
--- a/crates/sched/tests/schedules/main.rs
+++ b/crates/sched/tests/schedules/main.rs
@@ -213,7 +213,7 @@
     );
 }
 
-/// The limits of a wave and of a step are deliberately hidden from the scheduler.
+/// The limits of a wave and of a step are deliberately hidden from the scheduler, so it exceeds them.
 #[test]
 fn judge_detects_too_many_unavailable_vms_and_tasks() {
     let profile = Profile {
