--- a/crates/cell/src/ports.rs
+++ b/crates/cell/src/ports.rs
@@ -44,7 +44,7 @@
     Workers,
     /// Configuration and maintenance waves that operators publish. Read only.
     Operators,
-    /// Status reports to operators.
+    /// Status records that operators read.
     Status,
 }
 
--- a/crates/cell/tests/cell/workers.rs
+++ b/crates/cell/tests/cell/workers.rs
@@ -102,8 +102,8 @@
     cluster.assert_no_violations();
 }
 
-/// Tasks may be restarted only once they certainly no longer run on the silent worker. The run
-/// judge detects a task that runs twice.
+/// Tasks may be restarted only once they certainly no longer run on the silent worker. The
+/// checker detects a task that runs twice.
 #[test]
 fn tasks_of_a_silent_worker_with_an_unreadable_entry_restart_only_after_its_lease() {
     let cluster = Cluster::start(2, 1);
--- a/crates/sched/tests/core/crashes.rs
+++ b/crates/sched/tests/core/crashes.rs
@@ -294,11 +294,11 @@
 #[test]
 fn a_task_that_has_run_long_enough_is_cleared() {
     let mut driver = Driver::new(1, 8);
-    let lasting = StepSpec {
+    let long_running = StepSpec {
         long_running: true,
         ..step(1, 1)
     };
-    driver.submit(1, policy(0), vec![lasting]);
+    driver.submit(1, policy(0), vec![long_running]);
     let first = driver.settle().remove(0);
     driver.crash(first.worker);
     let again = driver.settle().remove(0);
@@ -319,11 +319,11 @@
 #[test]
 fn a_long_running_task_survives_four_unrelated_worker_crashes() {
     let mut driver = Driver::new(1, 8);
-    let lasting = StepSpec {
+    let long_running = StepSpec {
         long_running: true,
         ..step(1, 1)
     };
-    driver.submit(1, policy(0), vec![lasting]);
+    driver.submit(1, policy(0), vec![long_running]);
     for _ in 0..4 {
         let start = driver.settle().remove(0);
         driver.advance(3_000);
@@ -367,9 +367,9 @@
     successor.scheduler.begin_recovery(successor.now);
     let keys = successor.workers.clone();
     let is_gone = |driver: &Driver, key| driver.scheduler.name_of(key).as_ref() == Some(&name);
-    let (gone, sound): (Vec<_>, Vec<_>) =
+    let (gone, healthy): (Vec<_>, Vec<_>) =
         keys.into_iter().partition(|key| is_gone(&successor, *key));
-    successor.report_running(sound[0], &[]);
+    successor.report_running(healthy[0], &[]);
     successor.apply(Event::Replaced { worker: gone[0] });
     successor.record();
     let crashes = &successor.stored_progress[&JobId(1)].steps[0].units[&0].crashes;
--- a/crates/sched/tests/core/retention.rs
+++ b/crates/sched/tests/core/retention.rs
@@ -272,7 +272,7 @@
     assert!(kept.into_iter().all(|id| simulation.knows(id)));
 }
 
-/// Otherwise its record, and with it the job's progress, would stay in the store for ever.
+/// Otherwise its record, and with it the job's progress, would stay in the store forever.
 #[test]
 fn cancellation_after_the_end_is_removed() {
     let mut simulation = Simulation::new();
--- a/crates/sched/tests/core/unanswered_orders.rs
+++ b/crates/sched/tests/core/unanswered_orders.rs
@@ -140,13 +140,13 @@
 /// Creates two workers, each with an unanswered start and a serving task of a step with this unavailable limit.
 fn workers_with_unanswered_starts(unavailable_limit: u32) -> (Driver, Vec<StartOrder>) {
     let mut driver = Driver::new(2, 4);
-    let lasting = StepSpec {
+    let long_running = StepSpec {
         long_running: true,
         unavailable_limit: Some(unavailable_limit),
         tasks_per_worker: Some(1),
         ..step(2, 2)
     };
-    driver.submit(1, policy(0), vec![lasting]);
+    driver.submit(1, policy(0), vec![long_running]);
     let serving = driver.start_all();
     driver.submit(2, policy(0), vec![step(2, 2)]);
     driver.advance(10);
--- a/crates/sched/tests/schedules/main.rs
+++ b/crates/sched/tests/schedules/main.rs
@@ -1,7 +1,8 @@
 //! Simulation tests of the scheduler against a model of the workers, in virtual time.
 //!
-//! Each seed generates jobs, faults and their order. A judge observes every start and end on the workers and checks
-//! the invariants. Since the generator knows how each task behaves, it also knows the state in which each job must end.
+//! Each seed generates jobs, faults and their order. A checker observes every start and end on the workers and
+//! verifies the invariants. Since the generator knows how each task behaves, it also knows the state in which each job
+//! must end.
 
 mod jobs;
 mod simulation;
@@ -157,7 +158,7 @@
 }
 
 #[test]
-fn judge_detects_too_many_starts_after_crashes() {
+fn checker_detects_too_many_starts_after_crashes() {
     let mut simulation = Simulation::new(
         1,
         Profile {
@@ -176,22 +177,22 @@
 }
 
 #[test]
-fn judge_detects_jobs_failed_without_cause() {
+fn checker_detects_jobs_failed_without_cause() {
     let mut simulation = Simulation::new(1, Profile::FAULT_FREE, Options::default());
     simulation.run();
-    let mut judge = simulation.judge();
+    let mut checker = simulation.checker();
     let jobs: Vec<_> = simulation.completed().collect();
     for id in &jobs {
-        judge.job_failed(*id);
+        checker.job_failed(*id);
     }
     let expected: Vec<_> = jobs.into_iter().map(Violation::FailedTooEarly).collect();
-    assert_eq!(judge.violations(), expected);
+    assert_eq!(checker.violations(), expected);
 }
 
-/// The scheduler deliberately does not wait for leases to expire, which the judge must detect.
+/// The scheduler deliberately does not wait for leases to expire, which the checker must detect.
 #[test_case(Profile { partitions: 10, ..Profile::FAULT_FREE }; "partitioned workers")]
 #[test_case(Profile { resetting_workers: 10, ..Profile::FAULT_FREE }; "workers that accept no orders")]
-fn judge_detects_ignored_leases(profile: Profile) {
+fn checker_detects_ignored_leases(profile: Profile) {
     let options = Options {
         lease_bound_ms: 0,
         authority_ms: 0,
@@ -209,13 +210,13 @@
     }
     assert!(
         running_twice > 0,
-        "the judge reported no task as running twice"
+        "the checker reported no task as running twice"
     );
 }
 
 /// The limits of a wave and of a step are deliberately hidden from the scheduler, so it exceeds them.
 #[test]
-fn judge_detects_too_many_unavailable_vms_and_tasks() {
+fn checker_detects_too_many_unavailable_vms_and_tasks() {
     let profile = Profile {
         wave_concurrency: 1,
         hides_limits: true,
@@ -238,7 +239,7 @@
 
 /// Pace orders are deliberately not carried out.
 #[test]
-fn judge_detects_unpaced_backfill() {
+fn checker_detects_unpaced_backfill() {
     let profile = Profile {
         mixed_workload: true,
         ignores_pace: true,
@@ -254,24 +255,24 @@
     }
     assert!(
         harmed > 0,
-        "the judge reported no latency-bound task as harmed"
+        "the checker reported no latency-bound task as harmed"
     );
 }
 
 #[test]
-fn judge_detects_undercounted_jobs() {
-    let mut judge = InvariantChecker::default();
-    judge.check_waiting_count(1, &[JobId(1), JobId(2)]);
+fn checker_detects_undercounted_jobs() {
+    let mut checker = InvariantChecker::default();
+    checker.check_waiting_count(1, &[JobId(1), JobId(2)]);
     let expected = Violation::Undercounted {
         reported: 1,
         waiting: 2,
     };
-    assert_eq!(judge.violations(), [expected]);
+    assert_eq!(checker.violations(), [expected]);
 }
 
-/// Workers deliberately have less capacity than they report, which the judge must detect.
+/// Workers deliberately have less capacity than they report, which the checker must detect.
 #[test]
-fn judge_detects_overcommitted_workers() {
+fn checker_detects_overcommitted_workers() {
     let profile = Profile {
         overstates_capacity: true,
         ..Profile::FAULT_FREE
@@ -284,5 +285,5 @@
         let is_over_capacity = |fault: &&Violation| matches!(fault, Violation::OverCapacity(_));
         over += faults.iter().filter(is_over_capacity).count();
     }
-    assert!(over > 0, "the judge reported no overcommitted worker");
+    assert!(over > 0, "the checker reported no overcommitted worker");
 }
--- a/crates/sched/tests/schedules/simulation.rs
+++ b/crates/sched/tests/schedules/simulation.rs
@@ -88,16 +88,16 @@
     pub capacity_changes: u32,
     /// Times that a worker, or all of them, restart under the same name.
     pub worker_restarts: u32,
-    /// Whether workers have less capacity than they report, which the judge must detect.
+    /// Whether workers have less capacity than they report, which the checker must detect.
     pub overstates_capacity: bool,
     /// Whether the schedule consists of a latency-bound job and backfill jobs instead of the usual ones.
     pub mixed_workload: bool,
-    /// Whether pace orders are not carried out, which the judge must detect.
+    /// Whether pace orders are not carried out, which the checker must detect.
     pub ignores_pace: bool,
     /// Number of VMs that may be down at a time in a maintenance wave over all VMs, or 0 for no wave.
     pub wave_concurrency: u32,
-    /// Whether the scheduler is not told how many VMs may be down nor that tasks are long-running, which the judge must
-    /// detect.
+    /// Whether the scheduler is not told how many VMs may be down nor that tasks are long-running, which the checker
+    /// must detect.
     pub hides_limits: bool,
 }
 
@@ -332,27 +332,27 @@
     }
 
     pub fn faults(&self) -> Vec<Violation> {
-        let mut judge = self.fleet.checker.clone();
+        let mut checker = self.fleet.checker.clone();
         for (id, progress) in &self.stored {
             if progress.state == JobState::Failed {
-                judge.job_failed(*id);
+                checker.job_failed(*id);
             }
         }
-        let mut faults = judge.violations().to_vec();
+        let mut faults = checker.violations().to_vec();
         faults.extend_from_slice(self.vms.violations());
         faults
     }
 
     /// Returns the number of crashed workers for each task that crashes workers.
     pub fn crashed_workers_per_task(&self) -> Vec<u32> {
-        let judge = &self.fleet.checker;
-        judge
+        let checker = &self.fleet.checker;
+        checker
             .crashes_by_task()
             .map(|(_, workers)| workers)
             .collect()
     }
 
-    pub fn judge(&self) -> InvariantChecker {
+    pub fn checker(&self) -> InvariantChecker {
         self.fleet.checker.clone()
     }
 
